--- a/src/main/java/bramblespool/Bramblespool.java
+++ b/src/main/java/bramblespool/Bramblespool.java
@@ -5,8 +5,7 @@
 
 /** The program. The ordinary start of a role has nothing to parse, and a daemon that was killed is back the sooner. */
 public final class Bramblespool {
-    private Bramblespool() {
-    }
+    private Bramblespool() {}
 
     public static void main(String[] args) {
         if (args.length == 1 && Main.CLASSES.containsKey(args[0])) {
--- a/src/main/java/bramblespool/Commands.java
+++ b/src/main/java/bramblespool/Commands.java
@@ -13,10 +13,19 @@
 import picocli.CommandLine.Parameters;
 
 /** The command line's subcommands and options. */
-@Command(name = "bramblespool", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+@Command(
+        name = "bramblespool",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
         description = "A service mesh whose configurations are committed in the shadow of the running one.",
-        subcommands = {Commands.WeftCommand.class, Commands.HemCommand.class, Commands.HelmCommand.class, Commands.Check.class,
-            Commands.Rehearse.class, Status.class},
+        subcommands = {
+            Commands.WeftCommand.class,
+            Commands.HemCommand.class,
+            Commands.HelmCommand.class,
+            Commands.Check.class,
+            Commands.Rehearse.class,
+            Status.class
+        },
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:done, or ended in order", "1:failed", "2:wrong usage, or a file that is not fit for use"})
 final class Commands implements Runnable {
@@ -25,10 +34,13 @@
 
     /** A role is running: the process is not to end. */
     static final int STAY = -1;
+
     private static boolean started;
 
     static int execute(String[] args) {
-        int code = new CommandLine(new Commands()).setCaseInsensitiveEnumValuesAllowed(true).execute(args);
+        int code = new CommandLine(new Commands())
+                .setCaseInsensitiveEnumValuesAllowed(true)
+                .execute(args);
         return started ? STAY : code;
     }
 
@@ -46,11 +58,16 @@
     }
 
     abstract static class RoleCommand implements Callable<Integer> {
-        @Option(names = "--settings", paramLabel = "FILE",
+        @Option(
+                names = "--settings",
+                paramLabel = "FILE",
                 description = "the settings file; otherwise the one named by $" + Main.SETTINGS_VARIABLE)
         private Path file;
 
-        @Option(names = "--log-level", paramLabel = "LEVEL", defaultValue = "INFO",
+        @Option(
+                names = "--log-level",
+                paramLabel = "LEVEL",
+                defaultValue = "INFO",
                 description = "error, warn, info or debug (${DEFAULT-VALUE})")
         private Log.Level level;
 
@@ -68,7 +85,10 @@
         }
     }
 
-    @Command(name = "weft", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "weft",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Runs the data plane's daemon, on a machine of class sidecar.")
     static final class WeftCommand extends RoleCommand {
         @Override
@@ -77,7 +97,10 @@
         }
     }
 
-    @Command(name = "hem", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "hem",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Runs the gateway's daemon, on a machine of class edge.")
     static final class HemCommand extends RoleCommand {
         @Override
@@ -86,7 +109,10 @@
         }
     }
 
-    @Command(name = "helm", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "helm",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Runs the control plane's daemon, on a machine of class core.")
     static final class HelmCommand extends RoleCommand {
         @Override
@@ -95,7 +121,10 @@
         }
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Checks a settings file (.toml) or a configuration (.json) without starting anything.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the file to check")
@@ -124,8 +153,12 @@
         }
     }
 
-    @Command(name = "rehearse", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            description = "Plays a small mesh in this one process, on the loopback address, and says whether it worked.")
+    @Command(
+            name = "rehearse",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
+            description =
+                    "Plays a small mesh in this one process, on the loopback address, and says whether it worked.")
     static final class Rehearse implements Callable<Integer> {
         @Override
         public Integer call() {
--- a/src/main/java/bramblespool/Main.java
+++ b/src/main/java/bramblespool/Main.java
@@ -23,6 +23,7 @@
     static final String SETTINGS_VARIABLE = "BRAMBLESPOOL_BOOT";
     /** The roles, each with the class of machines it runs on. */
     static final Map<String, String> CLASSES = Map.of("weft", "sidecar", "hem", "edge", "helm", "core");
+
     static final int OK = 0;
     static final int FAILED = 1;
     static final int UNFIT = 2;
@@ -51,8 +52,10 @@
             settings = Settings.read(file);
             String wanted = CLASSES.get(role);
             if (!settings.machineClass().equals(wanted)) {
-                throw new Settings.Unfit(file.toString(), java.util.List.of("machineClass: a " + role + " runs on '" + wanted
-                        + "' machines, not on '" + settings.machineClass() + "'"));
+                throw new Settings.Unfit(
+                        file.toString(),
+                        java.util.List.of("machineClass: a " + role + " runs on '" + wanted + "' machines, not on '"
+                                + settings.machineClass() + "'"));
             }
         } catch (Settings.Unfit e) {
             System.err.println("bramblespool: " + e.getMessage());
@@ -86,8 +89,8 @@
             Thread.currentThread().interrupt();
         }
         if (failed[0] != null) {
-            throw new IOException(failed[0].getMessage() == null ? failed[0].toString() : failed[0].getMessage(),
-                    failed[0]);
+            throw new IOException(
+                    failed[0].getMessage() == null ? failed[0].toString() : failed[0].getMessage(), failed[0]);
         }
         log.say(Event.STARTED, "role", role, "zone", settings.zone());
         Runtime.getRuntime().addShutdownHook(new Thread(null, this::stop, "stop", 256 << 10));
--- a/src/main/java/bramblespool/Rehearsal.java
+++ b/src/main/java/bramblespool/Rehearsal.java
@@ -37,6 +37,7 @@
     private static final String WEFT_IP = "127.0.0.2";
     /** The gateway's helm and hem. */
     private static final String HELM_IP = "127.0.0.3";
+
     private static final String HEM_IP = "127.0.0.4";
     private static final long STEP_MS = 20_000;
     private static final int TRIES = 200;
@@ -129,21 +130,38 @@
 
     private boolean play() throws Exception {
         Path dir = Files.createTempDirectory("bramblespool");
-        ports.listen(at(0), x -> {
-            x.getResponseHeaders().put(Names.SEAL, "seal").put(Names.ATTEMPT, "x")
-                    .put(new HttpString("X-Instance-Id"), "i-1");
-            String attempt = x.getRequestHeaders().getFirst(Names.ATTEMPT);
-            if (attempt != null) {
-                x.getResponseHeaders().put(Names.ATTEMPT, attempt);
-            }
-            x.getResponseSender().send("played");
-        }, Ports.bounds(1 << 16, 1 << 20, 10_000, 10_000));
+        ports.listen(
+                at(0),
+                x -> {
+                    x.getResponseHeaders()
+                            .put(Names.SEAL, "seal")
+                            .put(Names.ATTEMPT, "x")
+                            .put(new HttpString("X-Instance-Id"), "i-1");
+                    String attempt = x.getRequestHeaders().getFirst(Names.ATTEMPT);
+                    if (attempt != null) {
+                        x.getResponseHeaders().put(Names.ATTEMPT, attempt);
+                    }
+                    x.getResponseSender().send("played");
+                },
+                Ports.bounds(1 << 16, 1 << 20, 10_000, 10_000));
         String metered = "[platform]\naddress = \"" + at(8) + "\"\nduties = [\"metering\"]\ndutyPerS = 10.0\n";
-        Settings helm = Settings.parse(settings("core", "helm-1", IP, "dataDir = \"" + dir + "\"\n" + metered
-                + "[listeners]\ncontrol = \"" + at(2) + "\""), "rehearsal");
-        Settings weft = Settings.parse(settings("sidecar", "weft-1", WEFT_IP, "target = \"stage\"\nappAddr = \"" + at(0)
-                + "\"\n" + metered + "[listeners]\ncontrol = \"" + at(4) + "\"\ninbound = \"" + at(5) + "\"\noutbound = \"" + at(6)
-                + "\"\nready = \"" + at(7) + "\""), "rehearsal");
+        Settings helm = Settings.parse(
+                settings(
+                        "core",
+                        "helm-1",
+                        IP,
+                        "dataDir = \"" + dir + "\"\n" + metered + "[listeners]\ncontrol = \"" + at(2) + "\""),
+                "rehearsal");
+        Settings weft = Settings.parse(
+                settings(
+                        "sidecar",
+                        "weft-1",
+                        WEFT_IP,
+                        "target = \"stage\"\nappAddr = \"" + at(0)
+                                + "\"\n" + metered + "[listeners]\ncontrol = \"" + at(4) + "\"\ninbound = \"" + at(5)
+                                + "\"\noutbound = \"" + at(6)
+                                + "\"\nready = \"" + at(7) + "\""),
+                "rehearsal");
         play(dir, helm, weft);
         Path other = Files.createTempDirectory("bramblespool");
         gateway(other);
@@ -155,9 +173,15 @@
         Daemon h = new Helm(helm, loop, log);
         Daemon w = new Weft(weft, loop, log);
         step("the first configuration", () -> post(at(2), "/bramblespool/config/replace", CONFIG.formatted(1, 0)), 200);
-        step("a heartbeat", () -> post(at(4), "/bramblespool/servers/i-1/heartbeat",
-                "{\"target\":\"stage\",\"address\":\"" + at(0) + "\",\"zone\":\"z\",\"epoch\":\"v1\",\"capacity\":4,"
-                        + "\"state\":\"ready\",\"warmupLeft\":\"0ms\",\"callSeq\":1}"), 200);
+        step(
+                "a heartbeat",
+                () -> post(
+                        at(4),
+                        "/bramblespool/servers/i-1/heartbeat",
+                        "{\"target\":\"stage\",\"address\":\"" + at(0)
+                                + "\",\"zone\":\"z\",\"epoch\":\"v1\",\"capacity\":4,"
+                                + "\"state\":\"ready\",\"warmupLeft\":\"0ms\",\"callSeq\":1}"),
+                200);
         step("readiness", () -> get(at(7), "/bramblespool/readiness"), 200);
         step("a request", () -> get(at(6), "/a/1"), 200);
         step("a request with a body", () -> post(at(6), "/b/1", "body"), 200);
@@ -171,22 +195,42 @@
     }
 
     private void gateway(Path dir) throws Exception {
-        String listed = "deployment = \"api\"\ndiscovery = \"platform\"\nentry = \"virtual_ip\"\n[platform]\naddress = \""
-                + at(8) + "\"\nratePerS = 50.0\nlag = \"800ms\"\n";
-        ports.listen(at(8), x -> x.getResponseSender().send("{\"servers\":{\"z\":[{\"id\":\"i-1\",\"target\":\"stage\","
-                + "\"address\":\"" + at(0) + "\",\"epoch\":\"v1\",\"capacity\":4,\"state\":\"ready\",\"warmupLeft\":\"0ms\"}]},"
-                + "\"nextToken\":null}"), Ports.bounds(1 << 16, 1 << 20, 10_000, 10_000));
-        Settings helm = Settings.parse(settings("core", "helm-2", HELM_IP, "dataDir = \"" + dir + "\"\n" + listed
-                + "[listeners]\ncontrol = \"" + HELM_IP + ":" + port[2] + "\"").replace(at(2), HELM_IP + ":" + port[2]),
+        String listed =
+                "deployment = \"api\"\ndiscovery = \"platform\"\nentry = \"virtual_ip\"\n[platform]\naddress = \""
+                        + at(8) + "\"\nratePerS = 50.0\nlag = \"800ms\"\n";
+        ports.listen(
+                at(8),
+                x -> x.getResponseSender()
+                        .send("{\"servers\":{\"z\":[{\"id\":\"i-1\",\"target\":\"stage\","
+                                + "\"address\":\"" + at(0)
+                                + "\",\"epoch\":\"v1\",\"capacity\":4,\"state\":\"ready\",\"warmupLeft\":\"0ms\"}]},"
+                                + "\"nextToken\":null}"),
+                Ports.bounds(1 << 16, 1 << 20, 10_000, 10_000));
+        Settings helm = Settings.parse(
+                settings(
+                                "core",
+                                "helm-2",
+                                HELM_IP,
+                                "dataDir = \"" + dir + "\"\n" + listed + "[listeners]\ncontrol = \"" + HELM_IP + ":"
+                                        + port[2] + "\"")
+                        .replace(at(2), HELM_IP + ":" + port[2]),
                 "rehearsal");
-        Settings edge = Settings.parse(settings("edge", "hem-1", HEM_IP, listed + "[listeners]\nfront = \"" + HEM_IP + ":"
-                + port[6] + "\"\nready = \"" + HEM_IP + ":" + port[7] + "\"").replace(at(2), HELM_IP + ":" + port[2]),
+        Settings edge = Settings.parse(
+                settings(
+                                "edge",
+                                "hem-1",
+                                HEM_IP,
+                                listed + "[listeners]\nfront = \"" + HEM_IP + ":" + port[6] + "\"\nready = \"" + HEM_IP
+                                        + ":" + port[7] + "\"")
+                        .replace(at(2), HELM_IP + ":" + port[2]),
                 "rehearsal");
         Log log = new Log("rehearsal", System.err, Log.Level.WARN);
         Daemon h = new Helm(helm, loop, log);
         Daemon e = new Hem(edge, loop, log);
-        step("the gateway's configuration", () -> post(helm.control(), "/bramblespool/config/replace",
-                CONFIG.formatted(1, 0)), 200);
+        step(
+                "the gateway's configuration",
+                () -> post(helm.control(), "/bramblespool/config/replace", CONFIG.formatted(1, 0)),
+                200);
         step("the hem's readiness", () -> get(edge.ready(), "/bramblespool/readiness"), 200);
         step("a request from outside", () -> get(edge.outbound(), "/a/1"), 200);
         step("a request from outside with a body", () -> post(edge.outbound(), "/b/1", "body"), 200);
@@ -209,7 +253,8 @@
         CompletableFuture<Integer> go();
     }
 
-    private void step(String what, Sending sending, int wanted) throws InterruptedException, ExecutionException, TimeoutException {
+    private void step(String what, Sending sending, int wanted)
+            throws InterruptedException, ExecutionException, TimeoutException {
         int got = 0;
         for (int i = 0; i < TRIES && got != wanted; i++) {
             if (i > 0) {
@@ -235,12 +280,18 @@
     private CompletableFuture<Integer> send(String address, String method, String path, byte[] body) {
         CompletableFuture<Integer> out = new CompletableFuture<>();
         HeaderMap headers = new HeaderMap();
-        headers.put(Headers.HOST, "rehearsal.example").put(Names.ATTEMPT, "a1").put(Names.DEADLINE, 3000)
-                .put(Names.MARK, "0").put(Headers.AUTHORIZATION, "Token key").put(Names.OPERATION, "o1");
+        headers.put(Headers.HOST, "rehearsal.example")
+                .put(Names.ATTEMPT, "a1")
+                .put(Names.DEADLINE, 3000)
+                .put(Names.MARK, "0")
+                .put(Headers.AUTHORIZATION, "Token key")
+                .put(Names.OPERATION, "o1");
         if (body.length > 0) {
             headers.put(Headers.CONTENT_LENGTH, body.length);
         }
-        upstream.send(address, new Upstream.Manner(1000, 1000, 1 << 16),
+        upstream.send(
+                address,
+                new Upstream.Manner(1000, 1000, 1 << 16),
                 new Upstream.Request(new HttpString(method), path, headers, new Stream.Body(body, null)),
                 new Upstream.Receiver() {
                     @Override
--- a/src/main/java/bramblespool/Status.java
+++ b/src/main/java/bramblespool/Status.java
@@ -20,7 +20,10 @@
 import picocli.CommandLine.Parameters;
 
 /** Asks daemons how they stand. */
-@Command(name = "status", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+@Command(
+        name = "status",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
         description = "Asks daemons at their peer addresses (first port of portRange) how they stand.")
 final class Status implements Callable<Integer> {
     /** A follower that has not answered for longer than this is said to be silent. */
@@ -35,7 +38,10 @@
     @Option(names = "--all", description = "list every weft and hem, not only those that deviate")
     private boolean all;
 
-    @Option(names = "--timeout", paramLabel = "MS", defaultValue = "2000",
+    @Option(
+            names = "--timeout",
+            paramLabel = "MS",
+            defaultValue = "2000",
             description = "how long to wait for each answer (${DEFAULT-VALUE})")
     private long timeoutMs;
 
@@ -54,7 +60,11 @@
         int code = Main.OK;
         for (String a : addresses) {
             CompletableFuture<Optional<JsonNode>> answer = new CompletableFuture<>();
-            loop.post(() -> wire.call(a, "status", JsonNodeFactory.instance.objectNode(), timeoutMs,
+            loop.post(() -> wire.call(
+                    a,
+                    "status",
+                    JsonNodeFactory.instance.objectNode(),
+                    timeoutMs,
                     n -> answer.complete(Optional.ofNullable(n))));
             Optional<JsonNode> n = answer.join();
             if (n.isEmpty()) {
@@ -70,17 +80,34 @@
 
     /** One daemon's answer for people; of the fleet a helm knows, sums first and then what deviates, or with {@code all} everything. */
     static String text(String address, JsonNode n, boolean all) {
-        StringBuilder s = new StringBuilder(address).append(": ").append(n.path("role").asText()).append(' ')
-                .append(n.path("node").asText()).append(" in ").append(n.path("zone").asText());
+        StringBuilder s = new StringBuilder(address)
+                .append(": ")
+                .append(n.path("role").asText())
+                .append(' ')
+                .append(n.path("node").asText())
+                .append(" in ")
+                .append(n.path("zone").asText());
         line(s, "version in force", n.path("epoch"));
         if (!n.path("role").asText().equals("helm")) {
             line(s, "marks calls with", n.path("tagging").asBoolean() ? "tags (a commit is under way)" : "the bit");
-            line(s, "session", n.path("session").asBoolean() ? "with " + n.path("helm").asText() : "none");
-            line(s, "servers", n.path("servers").isEmpty() ? "none known" : n.path("servers") + ", "
-                    + (n.path("open").asBoolean() ? "open" : "closed") + ", " + n.path("load").asInt() + " of "
-                    + n.path("capacity").asInt() + " slots taken or waited for");
-            line(s, "operations", n.path("operations").asLong() + " claimed of late, " + n.path("answerBytes").asLong() / 1024
-                    + " kB of answers kept for repeats");
+            line(
+                    s,
+                    "session",
+                    n.path("session").asBoolean() ? "with " + n.path("helm").asText() : "none");
+            line(
+                    s,
+                    "servers",
+                    n.path("servers").isEmpty()
+                            ? "none known"
+                            : n.path("servers") + ", "
+                                    + (n.path("open").asBoolean() ? "open" : "closed") + ", "
+                                    + n.path("load").asInt() + " of "
+                                    + n.path("capacity").asInt() + " slots taken or waited for");
+            line(
+                    s,
+                    "operations",
+                    n.path("operations").asLong() + " claimed of late, "
+                            + n.path("answerBytes").asLong() / 1024 + " kB of answers kept for repeats");
             line(s, "ready", n.path("ready"));
             return s.toString();
         }
@@ -88,11 +115,17 @@
         line(s, "leader", n.path("leader").isTextual() ? n.path("leader") : "none known");
         line(s, "term", n.path("term"));
         line(s, "phase of the commit", n.path("phase"));
-        line(s, "keeps up", n.path("strained").asBoolean() ? "no, timers come " + n.path("late").asLong() + " ms late" : "yes");
+        line(
+                s,
+                "keeps up",
+                n.path("strained").asBoolean()
+                        ? "no, timers come " + n.path("late").asLong() + " ms late"
+                        : "yes");
         line(s, "voters", n.path("voters"));
         if (n.path("leads").asBoolean()) {
             line(s, "unconfirmed", n.path("unconfirmed"));
-            n.path("followers").forEach(f -> line(s, "follower " + f.path("member").asText(), progress(f)));
+            n.path("followers")
+                    .forEach(f -> line(s, "follower " + f.path("member").asText(), progress(f)));
         }
         n.path("evacuations").fields().forEachRemaining(e -> {
             if (e.getValue().asBoolean()) {
@@ -100,16 +133,29 @@
             }
         });
         n.path("duties").fields().forEachRemaining(d -> line(s, "duty " + d.getKey(), d.getValue()));
-        line(s, "registers", n.path("registers").asLong() + " held, " + n.path("rounds").asLong() + " rounds begun, "
-                + n.path("unsure").asLong() + " without a certain end"
-                + (n.path("settled").asBoolean() ? "" : "; takes part in none yet"));
-        line(s, "slices of tenants", n.path("slices").asLong() + " of " + n.path("slicesInAll").asLong() + " owned here");
-        n.path("overLimit").fields().forEachRemaining(t -> line(s, "over its limit", t.getKey() + ", "
-                + t.getValue().asLong() + " times"));
+        line(
+                s,
+                "registers",
+                n.path("registers").asLong() + " held, " + n.path("rounds").asLong() + " rounds begun, "
+                        + n.path("unsure").asLong() + " without a certain end"
+                        + (n.path("settled").asBoolean() ? "" : "; takes part in none yet"));
+        line(
+                s,
+                "slices of tenants",
+                n.path("slices").asLong() + " of " + n.path("slicesInAll").asLong() + " owned here");
+        n.path("overLimit")
+                .fields()
+                .forEachRemaining(t -> line(
+                        s, "over its limit", t.getKey() + ", " + t.getValue().asLong() + " times"));
         JsonNode usage = n.path("usage");
         if (usage.isObject()) {
-            line(s, "usage reports", "by " + usage.path("holder").asText("nobody") + " under fence " + usage.path("fence").asLong()
-                    + ", oldest window not reported " + usage.path("oldest").asLong() + ", now in " + usage.path("current").asLong());
+            line(
+                    s,
+                    "usage reports",
+                    "by " + usage.path("holder").asText("nobody") + " under fence "
+                            + usage.path("fence").asLong() + ", oldest window not reported "
+                            + usage.path("oldest").asLong() + ", now in "
+                            + usage.path("current").asLong());
         }
         fleet(s, n.path("sides"), all);
         return s.toString();
@@ -119,14 +165,21 @@
     private static String progress(JsonNode f) {
         StringBuilder s = new StringBuilder();
         long behind = f.path("behind").asLong();
-        s.append(behind == 0 ? "has all" : behind + " entries behind, at " + f.path("match").asLong());
+        s.append(
+                behind == 0
+                        ? "has all"
+                        : behind + " entries behind, at " + f.path("match").asLong());
         if (f.path("size").asLong() > 0) {
-            s.append("; ").append(f.path("sent").asLong() / 1024).append(" of ").append(f.path("size").asLong() / 1024)
+            s.append("; ")
+                    .append(f.path("sent").asLong() / 1024)
+                    .append(" of ")
+                    .append(f.path("size").asLong() / 1024)
                     .append(" kB under way");
         }
         if (f.path("snapshots").asLong() > 1) {
-            s.append("; ").append(f.path("snapshots").asLong()).append(" snapshots since it last had all: its link or disk is too slow"
-                    + " for the changes");
+            s.append("; ")
+                    .append(f.path("snapshots").asLong())
+                    .append(" snapshots since it last had all: its link or disk is too slow" + " for the changes");
         }
         if (f.path("silentMs").asLong() > SILENT_MS) {
             s.append("; silent for ").append(f.path("silentMs").asLong()).append(" ms");
@@ -147,7 +200,11 @@
             boolean gone = side.path("gone").asBoolean();
             if (!gone) {
                 count(zones, side.path("zone").asText(), member);
-                side.path("doors").forEach(d -> count(services, d.path("target").asText(), member && d.path("open").asBoolean()));
+                side.path("doors")
+                        .forEach(d -> count(
+                                services,
+                                d.path("target").asText(),
+                                member && d.path("open").asBoolean()));
             }
             String odd = gone ? "has left" : member ? odd(side.path("doors")) : "no session";
             // One that has left is no trouble; it is remembered so that old news cannot bring it back.
@@ -182,14 +239,19 @@
     private static String doors(JsonNode doors) {
         StringBuilder s = new StringBuilder();
         for (JsonNode d : doors) {
-            s.append("; ").append(d.path("target").asText()).append(": ").append(d.path("servers").asText("none"))
+            s.append("; ")
+                    .append(d.path("target").asText())
+                    .append(": ")
+                    .append(d.path("servers").asText("none"))
                     .append(d.path("open").asBoolean() ? ", open" : ", closed");
         }
         return s.toString();
     }
 
     private static void line(StringBuilder s, String what, Object value) {
-        s.append("\n  ").append(what).append(": ")
+        s.append("\n  ")
+                .append(what)
+                .append(": ")
                 .append(value instanceof JsonNode v && v.isTextual() ? v.asText() : value);
     }
 }
--- a/src/main/java/bramblespool/coordination/Acceptor.java
+++ b/src/main/java/bramblespool/coordination/Acceptor.java
@@ -33,8 +33,7 @@
         }
     }
 
-    private record Expiry(String id, long at) {
-    }
+    private record Expiry(String id, long at) {}
 
     private final Clock clock;
     private final long lifeMs;
@@ -96,7 +95,8 @@
             if (b.equals(c.accepted)) {
                 return value.equals(c.value);
             }
-            if (b.number() == 0 || c.promised != null && c.promised.compareTo(b) > 0
+            if (b.number() == 0
+                    || c.promised != null && c.promised.compareTo(b) > 0
                     || c.accepted != null && c.accepted.compareTo(b) > 0) {
                 return false;
             }
@@ -122,8 +122,11 @@
     /** The register as it goes to disk. */
     Vault.Kept word(String id) {
         Cell c = cells.get(id);
-        return new Vault.Kept(id, c.promised == null ? null : c.promised.written(),
-                c.accepted == null ? null : c.accepted.written(), c.value);
+        return new Vault.Kept(
+                id,
+                c.promised == null ? null : c.promised.written(),
+                c.accepted == null ? null : c.accepted.written(),
+                c.value);
     }
 
     /** Some of the registers in the order of their ids, from after the one named. */
--- a/src/main/java/bramblespool/coordination/Admission.java
+++ b/src/main/java/bramblespool/coordination/Admission.java
@@ -25,8 +25,7 @@
  */
 public final class Admission {
     /** What came of the question. {@code waitMs}: over the limit, and when to come back. */
-    public record Answer(Verdict verdict, long waitMs, String stands) {
-    }
+    public record Answer(Verdict verdict, long waitMs, String stands) {}
 
     public enum Verdict {
         /** It may go on. */
@@ -45,6 +44,7 @@
     static final String SLICE = "tenants/";
     /** Ratios to {@code quiet}: how long one helm is waited for, how long it is left aside after that, the pause between. */
     private static final int PATIENCE = 16;
+
     private static final int ASIDE = 5;
     private static final int PAUSE = 60;
     /** The least time worth asking in. */
@@ -61,6 +61,7 @@
     private final Map<String, Long> aside = new HashMap<>();
     /** Tenants over their limit, and until when nobody needs to ask for them. */
     private final Map<String, Long> over = new HashMap<>();
+
     private final MessageDigest sha;
 
     Admission(Clock clock, Wire wire, Supplier<List<String>> voters, long quiet) {
@@ -85,7 +86,8 @@
     public String register(String tenant, String key) {
         String s = slice(tenant);
         byte[] d = sha.digest((tenant + "\n" + key).getBytes(StandardCharsets.UTF_8));
-        return s.substring(SLICE.length()) + "/" + Base64.getUrlEncoder().withoutPadding().encodeToString(d).substring(0, 20);
+        return s.substring(SLICE.length()) + "/"
+                + Base64.getUrlEncoder().withoutPadding().encodeToString(d).substring(0, 20);
     }
 
     /** A number that tells requests apart which came under one key. */
@@ -105,8 +107,15 @@
      * @param limited the tenant whose limit holds, or null
      * @param claim what to set the register to where it is empty or holds {@code instead}, or null
      */
-    public void ask(String tenant, Config.Tenant limited, long epoch, String register, String claim, String instead,
-            long withinMs, Consumer<Answer> done) {
+    public void ask(
+            String tenant,
+            Config.Tenant limited,
+            long epoch,
+            String register,
+            String claim,
+            String instead,
+            long withinMs,
+            Consumer<Answer> done) {
         if (limited != null) {
             Long until = over.get(tenant);
             if (until != null && until > clock.now()) {
@@ -117,7 +126,10 @@
         }
         ObjectNode m = JsonNodeFactory.instance.objectNode().put("slice", slice(tenant));
         if (limited != null) {
-            m.put("tenant", tenant).put("epoch", epoch).put("rate", limited.ratePerS()).put("burst", limited.burst());
+            m.put("tenant", tenant)
+                    .put("epoch", epoch)
+                    .put("rate", limited.ratePerS())
+                    .put("burst", limited.burst());
         }
         if (register != null) {
             m.put("register", register).put("claim", claim).put("instead", instead);
@@ -204,7 +216,8 @@
                     over.put(tenant, clock.now() + wait);
                     done.accept(new Answer(Verdict.OVER, wait, null));
                 }
-                case "held" -> done.accept(new Answer(Verdict.HELD, 0, a.path("stands").asText()));
+                case "held" ->
+                    done.accept(new Answer(Verdict.HELD, 0, a.path("stands").asText()));
                 default -> later();
             }
         }
--- a/src/main/java/bramblespool/coordination/Ballot.java
+++ b/src/main/java/bramblespool/coordination/Ballot.java
@@ -25,7 +25,9 @@
         }
         int first = written.indexOf(' ');
         int second = written.indexOf(' ', first + 1);
-        return new Ballot(Long.parseLong(written.substring(0, first)), Long.parseLong(written.substring(first + 1, second)),
+        return new Ballot(
+                Long.parseLong(written.substring(0, first)),
+                Long.parseLong(written.substring(first + 1, second)),
                 written.substring(second + 1));
     }
 }
--- a/src/main/java/bramblespool/coordination/Budget.java
+++ b/src/main/java/bramblespool/coordination/Budget.java
@@ -15,12 +15,12 @@
 public final class Budget {
     /** The rest of the ratio and of the slack is left for the calls that repeated runs make in their turn. */
     private static final double RATIO_SHARE = 0.5;
+
     private static final double SLACK_SHARE = 0.3;
     /** Up to this share of the slack may be saved up as one whole try each. */
     private static final double SAVED_SHARE = 0.45;
 
-    private record Lease(int tries, long until) {
-    }
+    private record Lease(int tries, long until) {}
 
     private final double ratio;
     private final double slack;
--- a/src/main/java/bramblespool/coordination/Commit.java
+++ b/src/main/java/bramblespool/coordination/Commit.java
@@ -24,8 +24,7 @@
         void phase(ObjectNode message, Set<String> wefts, long timeoutMs, Consumer<Acks> answer);
     }
 
-    public record Acks(Set<String> confirmed, Set<String> refused) {
-    }
+    public record Acks(Set<String> confirmed, Set<String> refused) {}
 
     /** Milliseconds, ratios to {@code ack} and {@code apply}. */
     public record Times(long distribute, long phase, long latency) {
@@ -41,8 +40,7 @@
         }
     }
 
-    private record Order(Orders.Change change, Consumer<Orders.Outcome> done) {
-    }
+    private record Order(Orders.Change change, Consumer<Orders.Outcome> done) {}
 
     private static final int TRIES = 2;
 
@@ -58,11 +56,12 @@
     private long lead;
     /** Numbers what is said to the wefts: of what this leader says the later holds. */
     private long round;
+
     private Config compiled;
     private Set<String> unconfirmed = new HashSet<>();
 
-    public Commit(Raft raft, Ledger ledger, Cells cells, Supplier<Set<String>> members, Clock clock, Times times,
-            Log log) {
+    public Commit(
+            Raft raft, Ledger ledger, Cells cells, Supplier<Set<String>> members, Clock clock, Times times, Log log) {
         this.raft = raft;
         this.ledger = ledger;
         this.cells = cells;
@@ -88,7 +87,11 @@
         }
         if (ledger.candidate() != null) {
             busy = true;
-            abort(ledger.candidate().epoch(), Config.stamp(ledger.candidate().packed()), "left by the last leader", this::resume);
+            abort(
+                    ledger.candidate().epoch(),
+                    Config.stamp(ledger.candidate().packed()),
+                    "left by the last leader",
+                    this::resume);
         } else {
             resume();
         }
@@ -140,13 +143,19 @@
             return;
         }
         if (config.epoch <= ledger.current().epoch()) {
-            answer(o, Orders.Outcome.invalid("epoch: must be above " + ledger.current().epoch()));
+            answer(
+                    o,
+                    Orders.Outcome.invalid(
+                            "epoch: must be above " + ledger.current().epoch()));
             return;
         }
         busy = true;
         long mine = lead;
-        ObjectNode e = Ledger.entry("candidate").put("epoch", config.epoch).put("base", change.base())
-                .put("digest", change.digest()).put("doc", config.packed);
+        ObjectNode e = Ledger.entry("candidate")
+                .put("epoch", config.epoch)
+                .put("base", change.base())
+                .put("digest", change.digest())
+                .put("doc", config.packed);
         raft.propose(e, ok -> {
             if (!ok || mine != lead) {
                 o.done.accept(Orders.Outcome.unclear("the lead was lost"));
@@ -190,7 +199,8 @@
     /** What has been decided on a change already: it was taken, or another version is in force; null where it may yet win. */
     private Orders.Outcome decided(Orders.Change change) {
         long epoch = ledger.current().epoch();
-        return ledger.taken(change.digest()) ? Orders.Outcome.taken(epoch)
+        return ledger.taken(change.digest())
+                ? Orders.Outcome.taken(epoch)
                 : change.base() != epoch ? Orders.Outcome.stale(epoch) : null;
     }
 
@@ -206,15 +216,22 @@
     }
 
     private ObjectNode message(int phase, long old, long fresh, String stamp) {
-        return JsonNodeFactory.instance.objectNode().put("phase", phase).put("term", raft.term()).put("round", ++round)
-                .put("old", old).put("new", fresh).put("stamp", stamp);
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("phase", phase)
+                .put("term", raft.term())
+                .put("round", ++round)
+                .put("old", old)
+                .put("new", fresh)
+                .put("stamp", stamp);
     }
 
     /** Phase 1, TAG DISTRIBUTION: the candidate and its tags. A missing acknowledgement aborts this try. */
     private void distribute(Order o, Config config, Set<String> wefts, int triesLeft) {
         long mine = lead;
         long within = times.distribute(config);
-        ObjectNode m = message(1, ledger.current().epoch(), config.epoch, config.stamp).put("open", within * triesLeft)
+        ObjectNode m = message(1, ledger.current().epoch(), config.epoch, config.stamp)
+                .put("open", within * triesLeft)
                 .put("doc", config.packed);
         cells.phase(m, wefts, within, acks -> {
             if (mine != lead) {
@@ -240,20 +257,24 @@
                 decide(o, config, acks.confirmed);
                 return;
             }
-            cells.phase(message(0, ledger.current().epoch(), config.epoch, config.stamp), acks.confirmed, times.phase, x -> {
-                if (mine == lead) {
-                    distribute(o, config, acks.confirmed, triesLeft - 1);
-                } else {
-                    o.done.accept(Orders.Outcome.unclear("the lead was lost"));
-                }
-            });
+            cells.phase(
+                    message(0, ledger.current().epoch(), config.epoch, config.stamp),
+                    acks.confirmed,
+                    times.phase,
+                    x -> {
+                        if (mine == lead) {
+                            distribute(o, config, acks.confirmed, triesLeft - 1);
+                        } else {
+                            o.done.accept(Orders.Outcome.unclear("the lead was lost"));
+                        }
+                    });
         });
     }
 
     private void abort(long epoch, String stamp, String why, Runnable then) {
         long mine = lead;
         log.say(Event.COMMIT_ABORTED, "epoch", epoch, "why", why);
-        cells.phase(message(0, ledger.current().epoch(), epoch, stamp), members.get(), times.phase, x -> { });
+        cells.phase(message(0, ledger.current().epoch(), epoch, stamp), members.get(), times.phase, x -> {});
         raft.propose(Ledger.entry("abort").put("epoch", epoch), ok -> {
             if (ok && mine == lead) {
                 then.run();
@@ -283,44 +304,63 @@
     /** Phase 2, TAG PACKET; then one latency bound, so that no call with a bit is under way. */
     private void tagPacket(long epoch, Set<String> wefts) {
         long mine = lead;
-        phase(2, epoch, wefts, TRIES, rest -> clock.after(times.latency, () -> {
-            if (mine == lead) {
-                swap(epoch, wefts);
-            }
-        }));
+        phase(
+                2,
+                epoch,
+                wefts,
+                TRIES,
+                rest -> clock.after(times.latency, () -> {
+                    if (mine == lead) {
+                        swap(epoch, wefts);
+                    }
+                }));
     }
 
     /** Phase 3, SWAP. */
     private void swap(long epoch, Set<String> wefts) {
         long mine = lead;
-        phase(3, epoch, wefts, 1, rest -> raft.propose(
-                Ledger.entry("phase").put("epoch", epoch).put("phase", Ledger.Phase.SWAPPED.name()), ok -> {
-                    if (ok && mine == lead) {
-                        mark(epoch, wefts, rest);
-                    }
-                }));
+        phase(
+                3,
+                epoch,
+                wefts,
+                1,
+                rest -> raft.propose(
+                        Ledger.entry("phase").put("epoch", epoch).put("phase", Ledger.Phase.SWAPPED.name()), ok -> {
+                            if (ok && mine == lead) {
+                                mark(epoch, wefts, rest);
+                            }
+                        }));
     }
 
     /** Phase 4, MARK SHADOW BIT. */
     private void mark(long epoch, Set<String> wefts, Set<String> silentAtSwap) {
         long mine = lead;
-        phase(4, epoch, wefts, TRIES, rest -> raft.propose(
-                Ledger.entry("phase").put("epoch", epoch).put("phase", Ledger.Phase.MARKED.name()), ok -> {
-                    if (ok && mine == lead) {
-                        unconfirmed = new HashSet<>(members.get());
-                        unconfirmed.removeAll(wefts);
-                        unconfirmed.addAll(silentAtSwap);
-                        unconfirmed.addAll(rest);
-                        log.say(Event.COMMIT_DONE, "epoch", epoch, "unconfirmed", unconfirmed);
-                        next();
-                    }
-                }));
+        phase(
+                4,
+                epoch,
+                wefts,
+                TRIES,
+                rest -> raft.propose(
+                        Ledger.entry("phase").put("epoch", epoch).put("phase", Ledger.Phase.MARKED.name()), ok -> {
+                            if (ok && mine == lead) {
+                                unconfirmed = new HashSet<>(members.get());
+                                unconfirmed.removeAll(wefts);
+                                unconfirmed.addAll(silentAtSwap);
+                                unconfirmed.addAll(rest);
+                                log.say(Event.COMMIT_DONE, "epoch", epoch, "unconfirmed", unconfirmed);
+                                next();
+                            }
+                        }));
     }
 
     /** One phase, repeated for those who have not confirmed it; goes on with the silent ones left unconfirmed. */
     private void phase(int phase, long epoch, Set<String> wefts, int triesLeft, Consumer<Set<String>> then) {
         long mine = lead;
-        ObjectNode m = message(phase, ledger.previous().epoch(), epoch, Config.stamp(ledger.current().packed()));
+        ObjectNode m = message(
+                phase,
+                ledger.previous().epoch(),
+                epoch,
+                Config.stamp(ledger.current().packed()));
         cells.phase(m, wefts, times.phase, acks -> {
             if (mine != lead) {
                 return;
--- a/src/main/java/bramblespool/coordination/Confirmation.java
+++ b/src/main/java/bramblespool/coordination/Confirmation.java
@@ -23,6 +23,7 @@
     private final Log log;
     /** Helms that were silent or out of touch since the start. */
     private final Set<String> without = new HashSet<>();
+
     private final Set<String> asking = new HashSet<>();
     private boolean confirmed;
     private boolean waived;
--- a/src/main/java/bramblespool/coordination/Duties.java
+++ b/src/main/java/bramblespool/coordination/Duties.java
@@ -16,6 +16,7 @@
     private final Supplier<Collection<String>> keys;
     /** Which keys are held under a right that lapses soon, so that they change hands sooner. */
     private final Predicate<String> leased;
+
     private final Set<String> proposed = new HashSet<>();
 
     Duties(Raft raft, Ledger ledger, Supplier<Collection<String>> keys, Predicate<String> leased) {
@@ -47,7 +48,8 @@
             if (d != null && alive.contains(d.holder()) || !proposed.add(key)) {
                 continue;
             }
-            raft.propose(Ledger.entry("duty").put("key", key).put("holder", Rendezvous.first(key, alive)),
+            raft.propose(
+                    Ledger.entry("duty").put("key", key).put("holder", Rendezvous.first(key, alive)),
                     ok -> proposed.remove(key));
         }
     }
--- a/src/main/java/bramblespool/coordination/Entry.java
+++ b/src/main/java/bramblespool/coordination/Entry.java
@@ -95,24 +95,31 @@
 
     private void claim(Who who, String instead, boolean tokenTaken, long withinMs, Taker taker) {
         Operation o = who.register == null ? null : core.operations.claiming(who.register, who.print);
-        core.admission.ask(who.tenant, tokenTaken ? null : who.limited, who.epoch, who.register, o == null ? null : o.claim(),
-                instead, withinMs, a -> {
-            if (a.verdict() == Admission.Verdict.GO) {
-                if (o != null) {
-                    core.operations.running(o);
-                }
-                taker.go(o);
-                return;
-            }
-            if (a.verdict() == Admission.Verdict.HELD && o != null) {
-                held(who, o, a.stands(), tokenTaken, withinMs, taker);
-                return;
-            }
-            if (o != null) {
-                core.operations.idle(o);
-            }
-            refuse(a, taker);
-        });
+        core.admission.ask(
+                who.tenant,
+                tokenTaken ? null : who.limited,
+                who.epoch,
+                who.register,
+                o == null ? null : o.claim(),
+                instead,
+                withinMs,
+                a -> {
+                    if (a.verdict() == Admission.Verdict.GO) {
+                        if (o != null) {
+                            core.operations.running(o);
+                        }
+                        taker.go(o);
+                        return;
+                    }
+                    if (a.verdict() == Admission.Verdict.HELD && o != null) {
+                        held(who, o, a.stands(), tokenTaken, withinMs, taker);
+                        return;
+                    }
+                    if (o != null) {
+                        core.operations.idle(o);
+                    }
+                    refuse(a, taker);
+                });
     }
 
     private void refuse(Admission.Answer a, Taker taker) {
@@ -151,7 +158,8 @@
         List<String> headers = new ArrayList<>();
         a.path("headers").forEach(h -> headers.add(h.asText()));
         try {
-            return new Operations.Answer(a.path("code").asInt(), headers, a.path("body").binaryValue());
+            return new Operations.Answer(
+                    a.path("code").asInt(), headers, a.path("body").binaryValue());
         } catch (IOException e) {
             return new Operations.Answer(a.path("code").asInt(), headers, new byte[0]);
         }
--- a/src/main/java/bramblespool/coordination/Fleet.java
+++ b/src/main/java/bramblespool/coordination/Fleet.java
@@ -27,6 +27,7 @@
         public long heard;
         /** When it was last told the news because its marks were old. */
         long told;
+
         private final Map<String, Door> doors = new HashMap<>();
 
         Peer(String node) {
@@ -64,6 +65,7 @@
     private static final long FORGET_MS = 800;
     /** Below this share of its capacity a near server is taken before a far one. */
     private static final double NEAR_SHARE = 0.8;
+
     private static final double COLD_COST = 0.6;
     /** What a server that fails everything costs more, in loads of itself: one that fails a part gets less, not nothing. */
     static final double ILL_COST = 2;
@@ -81,6 +83,7 @@
     private final Map<String, List<Door>> byTarget = new HashMap<>();
     /** For each service, the share of their capacity that its doors usually report as taken. */
     private final Object2DoubleOpenHashMap<String> usual = new Object2DoubleOpenHashMap<>();
+
     private final Set<String> evacuated = new HashSet<>();
 
     /** {@code own}: how many requests this daemon's own gates of a service hold. */
@@ -94,11 +97,13 @@
 
     /** Key of a data plane daemon's own item, weft or hem. */
     public static final String SIDE = "weft/";
+
     public static final String SESSION = "session/";
     public static final String HELM = "helm/";
     public static final String EVAC = "evac/";
     /** The news of which windows of usage have been reported. */
     static final String USAGE = "usage/reported";
+
     public static final String ORDER = "order";
 
     /** The peer addresses of the helms that the news knows, and of the seeds. */
@@ -156,11 +161,13 @@
         for (JsonNode d : b.path("doors")) {
             String target = d.path("target").asText();
             told.add(target);
-            door(p.doors.computeIfAbsent(target, t -> {
-                Door fresh = new Door(p, t);
-                byTarget.computeIfAbsent(t, x -> new ArrayList<>()).add(fresh);
-                return fresh;
-            }), d);
+            door(
+                    p.doors.computeIfAbsent(target, t -> {
+                        Door fresh = new Door(p, t);
+                        byTarget.computeIfAbsent(t, x -> new ArrayList<>()).add(fresh);
+                        return fresh;
+                    }),
+                    d);
         }
         p.doors.values().removeIf(d -> {
             boolean away = !told.contains(d.target);
@@ -275,7 +282,8 @@
             return (double) own.applyAsInt(d.target) / d.capacity + (d.coldUntil > now ? COLD_COST : 0);
         }
         double u = usual.getDouble(d.target);
-        double told = now - d.reportedAt > FORGET_MS ? u
+        double told = now - d.reportedAt > FORGET_MS
+                ? u
                 : u + ((double) d.reported / d.capacity - u) * Math.exp((d.reportedAt - now) / REPORT_MS);
         return Math.max((double) d.outstanding / d.capacity, told) + (d.coldUntil > now ? COLD_COST : 0);
     }
--- a/src/main/java/bramblespool/coordination/Gate.java
+++ b/src/main/java/bramblespool/coordination/Gate.java
@@ -21,8 +21,7 @@
  */
 public final class Gate {
     /** Why a request was not let through, and when to come back. */
-    public record Refusal(String why, long retryMs) {
-    }
+    public record Refusal(String why, long retryMs) {}
 
     /**
      * Figures of the rules, as the settings give them. {@code beat} is 0 where servers send none but stand on a list;
@@ -56,6 +55,7 @@
         private final String route;
         /** When its turn comes: a step of rank is worth a part of its aim, so that no rank starves another for good. */
         private final long turn;
+
         private final Runnable go;
         private final Consumer<Refusal> refused;
         private long started;
@@ -115,11 +115,13 @@
     private static final double LEAST_ROOM = 1.1;
     /** Mean deviations above the mean within which a request is counted on to be done. */
     private static final double DEVIATIONS = 1.5;
+
     private static final long SECOND = 1000;
     /** How much one outcome weighs in a server's illness. */
     private static final double FEEL = 0.15;
     /** Steps in which illness is told: one failure among many sound answers stays below the first. */
     private static final int ILL_STEPS = 5;
+
     private static final double LEARN = 0.1;
     private static final double FIRST_GUESS_MS = 100;
     /** After so many beats' time without one the server may have gone cold unnoticed. */
@@ -154,6 +156,7 @@
     private final Set<String> ended = new HashSet<>();
     /** Lives that another one has followed, each with its last {@code callSeq}. */
     private final Map<String, Long> followed = new HashMap<>();
+
     private final List<Ticket> queue = new ArrayList<>();
     private final LongArrayFIFOQueue arrivals = new LongArrayFIFOQueue();
     private final Object2DoubleOpenHashMap<String> work = new Object2DoubleOpenHashMap<>();
@@ -570,7 +573,9 @@
             start(queue.remove(0), now);
         }
         if (!queue.isEmpty() && running < capacity && warmTimer == null) {
-            long wait = arrivals.isEmpty() ? Math.max(10, inherited(now) ? born + SECOND - now : 0) : Math.max(5, arrivals.firstLong() + SECOND * 11 / 10 - now);
+            long wait = arrivals.isEmpty()
+                    ? Math.max(10, inherited(now) ? born + SECOND - now : 0)
+                    : Math.max(5, arrivals.firstLong() + SECOND * 11 / 10 - now);
             warmTimer = clock.after(wait, () -> {
                 warmTimer = null;
                 drainQueue();
--- a/src/main/java/bramblespool/coordination/Gates.java
+++ b/src/main/java/bramblespool/coordination/Gates.java
@@ -96,11 +96,12 @@
     /** The ids of all servers behind these gates. */
     public List<String> servers() {
         List<String> out = new ArrayList<>();
-        byTarget.values().forEach(l -> l.forEach(g -> {
-            if (g.id() != null) {
-                out.add(g.id());
-            }
-        }));
+        byTarget.values()
+                .forEach(l -> l.forEach(g -> {
+                    if (g.id() != null) {
+                        out.add(g.id());
+                    }
+                }));
         return out;
     }
 
@@ -126,8 +127,12 @@
                     slow = Math.min(slow, g.slow());
                 }
             }
-            ObjectNode door = doors.addObject().put("target", target).put("servers", ids.toString()).put("capacity", capacity)
-                    .put("open", open && !gone).put("cold", cold == Long.MAX_VALUE ? 0 : cold);
+            ObjectNode door = doors.addObject()
+                    .put("target", target)
+                    .put("servers", ids.toString())
+                    .put("capacity", capacity)
+                    .put("open", open && !gone)
+                    .put("cold", cold == Long.MAX_VALUE ? 0 : cold);
             if (ill > 0 && open) {
                 door.put("ill", ill);
             }
--- a/src/main/java/bramblespool/coordination/HelmCore.java
+++ b/src/main/java/bramblespool/coordination/HelmCore.java
@@ -33,6 +33,7 @@
 public final class HelmCore implements Wire.Service, StateMachine {
     /** Ratios to {@code quiet}. */
     private static final int RENEWALS = 6;
+
     private static final int CALLS = 10;
     private static final int JOINS = 12;
     /** Ratio to {@code drain} of the time for which news heard is gathered before it is passed on. */
@@ -45,6 +46,7 @@
     private static final String LIST = "list/";
     /** Key of the duty of leasing out a service's retry slack. */
     private static final String SLACK = "slack/";
+
     private static final int MOST_ASKED = 1000;
     /** Ratio to {@code quiet} of the lateness from which a helm counts as not keeping up. */
     private static final int BEHIND = 40;
@@ -76,10 +78,12 @@
     private final boolean fresh;
     /** The duty of reporting usage, or null where the platform wants none. */
     private final Metering metering;
+
     private boolean toldVoter;
     private final Terms terms;
     /** Owners of slices that did not answer, and when. */
     private final Map<String, Long> silentSince = new HashMap<>();
+
     private final Map<String, Session> sessions = new HashMap<>();
     private final Set<String> members = new HashSet<>();
     private final Map<String, Long> published = new HashMap<>();
@@ -91,12 +95,13 @@
     private final Set<String> asked = new HashSet<>();
     /** The zones' lists, where the platform keeps them; each is read by whoever holds that duty. */
     private final Map<String, Roster> rosters = new TreeMap<>();
+
     private boolean gone;
     private boolean publishing;
 
     /** {@code platform}: who keeps the list of servers, or null where they tell of themselves. */
-    public HelmCore(Settings settings, Vault vault, String incarnation, Clock clock, Wire wire, Platform platform,
-            Log log) {
+    public HelmCore(
+            Settings settings, Vault vault, String incarnation, Clock clock, Wire wire, Platform platform, Log log) {
         this.settings = settings;
         this.clock = clock;
         this.wire = wire;
@@ -130,23 +135,47 @@
         news.listen(this::heard);
         this.fresh = vault.load() == null && settings.bootstrap() && !vault.setAside();
         if (vault.load() == null) {
-            List<String> founders = settings.seeds().stream().map(settings::peerOf).toList();
+            List<String> founders =
+                    settings.seeds().stream().map(settings::peerOf).toList();
             boolean founds = fresh && founders.contains(settings.peer());
-            vault.found(founds ? Raft.FOUNDER : incarnation,
-                    founds ? List.of(Raft.founding(founders)) : List.of());
+            vault.found(founds ? Raft.FOUNDER : incarnation, founds ? List.of(Raft.founding(founders)) : List.of());
         }
         Vault.Saved saved = vault.load();
         String member = settings.peer() + "#" + saved.incarnation();
         long registerLife = Operations.keeps(b.keyWindow());
-        this.registers = new Registers(ledger, member, settings.lossMachines() + 1, vault, clock, wire, b.apply() / REGISTER_GATHER,
-                callMs / 2, registerLife, log);
+        this.registers = new Registers(
+                ledger,
+                member,
+                settings.lossMachines() + 1,
+                vault,
+                clock,
+                wire,
+                b.apply() / REGISTER_GATHER,
+                callMs / 2,
+                registerLife,
+                log);
         this.slices = new Slices(ledger, registers, member, clock, wire, b.quiet(), registerLife, log);
         this.quota = new Quota(clock, b.quotaWindow(), b.quotaExcess(), b.quotaSlack());
-        this.raft = new Raft(member, settings.control(),
-                Math.max(1, settings.seeds().size()), settings.lossMachines(), saved, clock, wire, vault, this,
-                Times.of(b.quiet(), b.catchUp()), log);
-        this.commit = new Commit(raft, ledger, this::phase, () -> new HashSet<>(members), clock,
-                Commit.Times.of(b.ack(), b.apply()), log);
+        this.raft = new Raft(
+                member,
+                settings.control(),
+                Math.max(1, settings.seeds().size()),
+                settings.lossMachines(),
+                saved,
+                clock,
+                wire,
+                vault,
+                this,
+                Times.of(b.quiet(), b.catchUp()),
+                log);
+        this.commit = new Commit(
+                raft,
+                ledger,
+                this::phase,
+                () -> new HashSet<>(members),
+                clock,
+                Commit.Times.of(b.ack(), b.apply()),
+                log);
         if (platform != null && settings.discovery() == Settings.Discovery.PLATFORM) {
             for (String zone : settings.zones().keySet()) {
                 rosters.put(zone, new Roster(zone, clock, platform, wire, this::hems, b.drain() / READS, callMs, log));
@@ -154,8 +183,23 @@
         }
         this.slack = new Slack(clock, b.retrySlack(), b.retryWindow());
         this.duties = new Duties(raft, ledger, this::keys, Metering.DUTY::equals);
-        this.metering = platform == null || settings.metering() == null ? null : new Metering(settings, fresh, clock, wire, platform,
-                raft, ledger, duties, registers, news, this::helms, () -> members, callMs / 2, log);
+        this.metering = platform == null || settings.metering() == null
+                ? null
+                : new Metering(
+                        settings,
+                        fresh,
+                        clock,
+                        wire,
+                        platform,
+                        raft,
+                        ledger,
+                        duties,
+                        registers,
+                        news,
+                        this::helms,
+                        () -> members,
+                        callMs / 2,
+                        log);
         this.strain = new Strain(clock, b.quiet() / BEHIND, log);
     }
 
@@ -210,13 +254,22 @@
             if (d == null && asked.size() < MOST_ASKED) {
                 asked.add(SLACK + service);
             }
-            answer.accept(JsonNodeFactory.instance.objectNode().put("life", slack.lifeMs())
+            answer.accept(JsonNodeFactory.instance
+                    .objectNode()
+                    .put("life", slack.lifeMs())
                     .put("tries", d == null || !raft.inTouch() ? 0 : slack.grant(service, d.fence())));
         } else if (owner == null || m.path("passed").asBoolean()) {
             answer.accept(null);
         } else {
-            wire.call(owner, "lease", JsonNodeFactory.instance.objectNode().put("service", service).put("passed", true),
-                    callMs / 2, a -> answer.accept(a instanceof ObjectNode o ? o : null));
+            wire.call(
+                    owner,
+                    "lease",
+                    JsonNodeFactory.instance
+                            .objectNode()
+                            .put("service", service)
+                            .put("passed", true),
+                    callMs / 2,
+                    a -> answer.accept(a instanceof ObjectNode o ? o : null));
         }
     }
 
@@ -238,13 +291,19 @@
         slices.wanted();
         String slice = m.path("slice").asText();
         String owner = slices.owner(slice);
-        if (slices.fence(slice) >= 0 || owner == null || clock.now() - silentSince.getOrDefault(owner, -callMs) < callMs) {
+        if (slices.fence(slice) >= 0
+                || owner == null
+                || clock.now() - silentSince.getOrDefault(owner, -callMs) < callMs) {
             then.accept(orSpare(token(m), m));
             return;
         }
-        ObjectNode passed = JsonNodeFactory.instance.objectNode().put("slice", slice)
-                .put("tenant", m.path("tenant").asText()).put("epoch", m.path("epoch").asLong())
-                .put("rate", m.path("rate").asDouble()).put("burst", m.path("burst").asDouble());
+        ObjectNode passed = JsonNodeFactory.instance
+                .objectNode()
+                .put("slice", slice)
+                .put("tenant", m.path("tenant").asText())
+                .put("epoch", m.path("epoch").asLong())
+                .put("rate", m.path("rate").asDouble())
+                .put("burst", m.path("burst").asDouble());
         wire.call(owner, "token", passed, Math.max(1, m.path("within").asLong() / 3), a -> {
             if (a == null) {
                 silentSince.put(owner, clock.now());
@@ -263,11 +322,16 @@
 
     /** Where nobody can say for the owner, a voter grants its part of what the rule allows beyond the limit. */
     private ObjectNode orSpare(ObjectNode token, JsonNode m) {
-        if (!"none".equals(token.path("verdict").asText()) || gone || !ledger.voters().containsKey(raft.self())) {
+        if (!"none".equals(token.path("verdict").asText())
+                || gone
+                || !ledger.voters().containsKey(raft.self())) {
             return token;
         }
         // One more than there are, for a change of voters that has not been heard of here.
-        boolean granted = quota.spare(m.path("tenant").asText(), ledger.voters().size() + 1, m.path("rate").asDouble(),
+        boolean granted = quota.spare(
+                m.path("tenant").asText(),
+                ledger.voters().size() + 1,
+                m.path("rate").asDouble(),
                 m.path("burst").asDouble());
         return granted ? JsonNodeFactory.instance.objectNode().put("verdict", "go") : token;
     }
@@ -283,8 +347,13 @@
             }
             return out.put("verdict", "none");
         }
-        long wait = quota.take(m.path("tenant").asText(), slices.term(slice), slices.first(slice), m.path("epoch").asLong(),
-                m.path("rate").asDouble(), m.path("burst").asDouble());
+        long wait = quota.take(
+                m.path("tenant").asText(),
+                slices.term(slice),
+                slices.first(slice),
+                m.path("epoch").asLong(),
+                m.path("rate").asDouble(),
+                m.path("burst").asDouble());
         out.put("owner", settings.peer()).put("fence", fence);
         return wait == 0 ? out.put("verdict", "go") : out.put("verdict", "over").put("wait", wait);
     }
@@ -294,15 +363,19 @@
             answer.accept(out.put("verdict", "go"));
             return;
         }
-        registers.set(m.path("register").asText(), m.path("claim").asText(),
-                m.path("instead").isTextual() ? m.path("instead").asText() : null, Math.max(1, m.path("within").asLong() * 4 / 5), r -> {
-            switch (r.outcome()) {
-                case WON -> out.put("verdict", "go");
-                case HELD -> out.put("verdict", "held").put("stands", r.value());
-                default -> out.put("verdict", "none");
-            }
-            answer.accept(out);
-        });
+        registers.set(
+                m.path("register").asText(),
+                m.path("claim").asText(),
+                m.path("instead").isTextual() ? m.path("instead").asText() : null,
+                Math.max(1, m.path("within").asLong() * 4 / 5),
+                r -> {
+                    switch (r.outcome()) {
+                        case WON -> out.put("verdict", "go");
+                        case HELD -> out.put("verdict", "held").put("stands", r.value());
+                        default -> out.put("verdict", "none");
+                    }
+                    answer.accept(out);
+                });
     }
 
     private void dutyRound() {
@@ -336,7 +409,12 @@
                     holds.add(id);
                 }
             }
-            out.add(new Roster.Hem(node, i.life(), i.body().path("peer").asText(), i.body().path("zone").asText(), holds));
+            out.add(new Roster.Hem(
+                    node,
+                    i.life(),
+                    i.body().path("peer").asText(),
+                    i.body().path("zone").asText(),
+                    holds));
         }
         return out;
     }
@@ -351,8 +429,13 @@
 
     private void tellSelf() {
         toldVoter = ledger.voters().containsKey(raft == null ? "" : raft.self());
-        news.tell(JsonNodeFactory.instance.objectNode().put("peer", settings.peer()).put("control", settings.control())
-                .put("zone", settings.zone()).put("gone", gone).put("voter", toldVoter));
+        news.tell(JsonNodeFactory.instance
+                .objectNode()
+                .put("peer", settings.peer())
+                .put("control", settings.control())
+                .put("zone", settings.zone())
+                .put("gone", gone)
+                .put("voter", toldVoter));
     }
 
     private void heard(News.Item i) {
@@ -422,7 +505,9 @@
         if (touch) {
             out.put("term", raft.leaderTerm());
         }
-        return out.put("ok", true).put("touch", touch).put("same", news.hash().equals(m.path("hash").asText()));
+        return out.put("ok", true)
+                .put("touch", touch)
+                .put("same", news.hash().equals(m.path("hash").asText()));
     }
 
     /** Whether this helm's news is of late: it hears who leads, or a majority has lately answered it. */
@@ -431,8 +516,15 @@
     }
 
     private void tellSession(String node, Session s) {
-        news.tell(Fleet.SESSION + node, s.life, s.n * 2 + (s.open ? 0 : 1), JsonNodeFactory.instance.objectNode()
-                .put("helm", settings.peer()).put("weft", s.peer).put("open", s.open));
+        news.tell(
+                Fleet.SESSION + node,
+                s.life,
+                s.n * 2 + (s.open ? 0 : 1),
+                JsonNodeFactory.instance
+                        .objectNode()
+                        .put("helm", settings.peer())
+                        .put("weft", s.peer)
+                        .put("open", s.open));
     }
 
     private void close(String node, Session s) {
@@ -463,7 +555,8 @@
         for (String w : wefts) {
             News.Item i = news.get(Fleet.SESSION + w);
             if (i != null) {
-                byCell.computeIfAbsent(i.body().path("helm").asText(), k -> new LinkedHashSet<>()).add(w);
+                byCell.computeIfAbsent(i.body().path("helm").asText(), k -> new LinkedHashSet<>())
+                        .add(w);
             }
         }
         int[] open = {byCell.size()};
@@ -587,15 +680,26 @@
     /** Tells in the news what the ledger holds. */
     private void publish() {
         if (ledger.current().epoch() > 0) {
-            news.tell(Fleet.ORDER, ledger.current().epoch(), ledger.phase().ordinal(),
-                    JsonNodeFactory.instance.objectNode().put("epoch", ledger.current().epoch()).put("stamp", Config.stamp(ledger.current().packed()))
-                            .put("old", ledger.previous().epoch()).put("phase", ledger.phase().name()));
+            news.tell(
+                    Fleet.ORDER,
+                    ledger.current().epoch(),
+                    ledger.phase().ordinal(),
+                    JsonNodeFactory.instance
+                            .objectNode()
+                            .put("epoch", ledger.current().epoch())
+                            .put("stamp", Config.stamp(ledger.current().packed()))
+                            .put("old", ledger.previous().epoch())
+                            .put("phase", ledger.phase().name()));
         }
         tellUnconfirmed();
         ledger.evacuations().forEach((zone, e) -> {
             if (published.getOrDefault(zone, 0L) < e.index()) {
                 published.put(zone, e.index());
-                news.tell(Fleet.EVAC + zone, e.index(), 0, JsonNodeFactory.instance.objectNode().put("on", e.on()));
+                news.tell(
+                        Fleet.EVAC + zone,
+                        e.index(),
+                        0,
+                        JsonNodeFactory.instance.objectNode().put("on", e.on()));
             }
         });
     }
@@ -643,7 +747,9 @@
 
     @Override
     public void serve(String kind, JsonNode m, Consumer<ObjectNode> answer) {
-        if (raft.serve(kind, m, answer) || registers.serve(kind, m, answer) || slices.serve(kind, m, answer)
+        if (raft.serve(kind, m, answer)
+                || registers.serve(kind, m, answer)
+                || slices.serve(kind, m, answer)
                 || metering != null && metering.serve(kind, m, answer)) {
             return;
         }
@@ -662,7 +768,8 @@
             case "token" -> answer.accept(token(m));
             case "raise" -> answer.accept(raise(m));
             case "cell" -> cell(m, answer);
-            case "doc" -> answer.accept(doc(m.path("epoch").asLong(), m.path("stamp").asText()));
+            case "doc" ->
+                answer.accept(doc(m.path("epoch").asLong(), m.path("stamp").asText()));
             case "ping" -> answer.accept(JsonNodeFactory.instance.objectNode().put("touch", inTouch()));
             case "status" -> answer.accept(status());
             default -> {
@@ -686,7 +793,9 @@
 
     private ObjectNode doc(long epoch, String stamp) {
         for (Ledger.Version v : List.of(ledger.current(), ledger.previous())) {
-            if (v.epoch() == epoch && v.packed() != null && (stamp.isEmpty() || stamp.equals(Config.stamp(v.packed())))) {
+            if (v.epoch() == epoch
+                    && v.packed() != null
+                    && (stamp.isEmpty() || stamp.equals(Config.stamp(v.packed())))) {
                 return JsonNodeFactory.instance.objectNode().put("doc", v.packed());
             }
         }
@@ -694,17 +803,33 @@
     }
 
     private ObjectNode status() {
-        ObjectNode n = JsonNodeFactory.instance.objectNode().put("role", "helm").put("node", settings.node())
-                .put("zone", settings.zone()).put("self", raft.self()).put("term", raft.term())
-                .put("leader", raft.leaderId()).put("leads", raft.leads()).put("epoch", ledger.current().epoch())
-                .put("phase", ledger.phase().name()).put("applied", raft.applied())
-                .put("late", strain.late()).put("strained", strain.strained());
+        ObjectNode n = JsonNodeFactory.instance
+                .objectNode()
+                .put("role", "helm")
+                .put("node", settings.node())
+                .put("zone", settings.zone())
+                .put("self", raft.self())
+                .put("term", raft.term())
+                .put("leader", raft.leaderId())
+                .put("leads", raft.leads())
+                .put("epoch", ledger.current().epoch())
+                .put("phase", ledger.phase().name())
+                .put("applied", raft.applied())
+                .put("late", strain.late())
+                .put("strained", strain.strained());
         ArrayNode v = n.putArray("voters");
         raft.voters().forEach(v::add);
         ArrayNode f = n.putArray("followers");
-        raft.progress().forEach(p -> f.addObject().put("member", p.member()).put("match", p.match()).put("behind", p.behind())
-                .put("sent", p.sent()).put("size", p.size()).put("snapshots", p.snapshots()).put("silentMs", p.silentMs())
-                .put("differs", p.differs()));
+        raft.progress()
+                .forEach(p -> f.addObject()
+                        .put("member", p.member())
+                        .put("match", p.match())
+                        .put("behind", p.behind())
+                        .put("sent", p.sent())
+                        .put("size", p.size())
+                        .put("snapshots", p.snapshots())
+                        .put("silentMs", p.silentMs())
+                        .put("differs", p.differs()));
         ArrayNode u = n.putArray("unconfirmed");
         commit.unconfirmed().forEach(u::add);
         ObjectNode ev = n.putObject("evacuations");
@@ -712,7 +837,9 @@
         ObjectNode held = n.putObject("duties");
         ledger.duties().forEach((key, d) -> held.put(key, d.holder()));
         n.put("slices", slices.owned()).put("slicesInAll", Admission.SLICES);
-        n.put("registers", registers.held()).put("rounds", registers.rounds()).put("unsure", registers.unsure())
+        n.put("registers", registers.held())
+                .put("rounds", registers.rounds())
+                .put("unsure", registers.unsure())
                 .put("settled", registers.settled());
         if (metering != null) {
             n.set("usage", metering.status());
--- a/src/main/java/bramblespool/coordination/Membership.java
+++ b/src/main/java/bramblespool/coordination/Membership.java
@@ -19,6 +19,7 @@
     private static final int MISSES = 2;
     /** How much sooner than at the next renewal a side without a session tries again, at first and in the end. */
     private static final int HURRY = 12;
+
     private static final int LEAST_HURRY = 3;
     /** After so many renewals elsewhere the helm of the own zone is tried again. */
     private static final int HOMEWARD = 10;
@@ -36,22 +37,35 @@
     private boolean open;
     /** Numbers this side's sessions: the higher one holds. */
     private long number;
+
     private int misses;
     private int renewals;
     private int rotation;
     /** The home helm that was tried while the session was elsewhere: it is tried at once when first heard of. */
     private String homeTried;
+
     private boolean outnumbered;
     private boolean hurrying;
     private long hurry;
 
     /** What runs began here, where somebody wants to know; goes with each renewal. */
     private final Tally tally;
+
     private final TrueTime time;
     private String tallyAt;
 
-    Membership(Supplier<Settings> settings, News news, Terms terms, Confirmation confirmation, Tally tally, TrueTime time,
-            Clock clock, Wire wire, long callMs, long renewalMs, Log log) {
+    Membership(
+            Supplier<Settings> settings,
+            News news,
+            Terms terms,
+            Confirmation confirmation,
+            Tally tally,
+            TrueTime time,
+            Clock clock,
+            Wire wire,
+            long callMs,
+            long renewalMs,
+            Log log) {
         this.settings = settings;
         this.news = news;
         this.terms = terms;
@@ -97,13 +111,14 @@
 
     void end() {
         if (helm != null) {
-            wire.call(helm, "session", message(helm, number, true), callMs, a -> { });
+            wire.call(helm, "session", message(helm, number, true), callMs, a -> {});
         }
     }
 
     private String home() {
         for (News.Item i : news.under(Fleet.HELM)) {
-            if (!i.body().path("gone").asBoolean() && i.body().path("zone").asText().equals(settings.get().zone())) {
+            if (!i.body().path("gone").asBoolean()
+                    && i.body().path("zone").asText().equals(settings.get().zone())) {
                 return i.body().path("peer").asText();
             }
         }
@@ -118,7 +133,8 @@
             homeTried = home;
             helm = home;
         } else if (!all.isEmpty()) {
-            all.sort(Comparator.comparingLong(h -> Rendezvous.weight(settings.get().node(), h)));
+            all.sort(Comparator.comparingLong(
+                    h -> Rendezvous.weight(settings.get().node(), h)));
             helm = all.get(rotation++ % all.size());
         }
         number++;
@@ -171,8 +187,14 @@
     }
 
     private ObjectNode message(String to, long ofNumber, boolean end) {
-        ObjectNode m = JsonNodeFactory.instance.objectNode().put("node", settings.get().node()).put("peer", settings.get().peer())
-                .put("life", news.life()).put("n", ofNumber).put("hash", news.hash()).put("end", end);
+        ObjectNode m = JsonNodeFactory.instance
+                .objectNode()
+                .put("node", settings.get().node())
+                .put("peer", settings.get().peer())
+                .put("life", news.life())
+                .put("n", ofNumber)
+                .put("hash", news.hash())
+                .put("end", end);
         if (tally != null) {
             if (!to.equals(tallyAt)) {
                 tally.toAnother();
--- a/src/main/java/bramblespool/coordination/Metering.java
+++ b/src/main/java/bramblespool/coordination/Metering.java
@@ -36,6 +36,7 @@
     private static final int ROUNDS = 20;
     /** After its end a window is left alone for this part of {@code usageLate}; sums that are lacking are waited for until that part. */
     private static final double SETTLES = 0.15;
+
     private static final double WAITS = 0.5;
     /** The longest pause after a failed call, and the longest wait for an answer, as a ratio to the window. */
     private static final int LONGEST_PAUSE = 2;
@@ -79,8 +80,20 @@
     private long pausedUntil;
     private long refusedFence = -1;
 
-    Metering(Settings settings, boolean fresh, Clock clock, Wire wire, Platform platform, Raft raft, Ledger ledger,
-            Duties duties, Registers registers, News news, Supplier<Collection<String>> helms, Supplier<Collection<String>> members, long callMs,
+    Metering(
+            Settings settings,
+            boolean fresh,
+            Clock clock,
+            Wire wire,
+            Platform platform,
+            Raft raft,
+            Ledger ledger,
+            Duties duties,
+            Registers registers,
+            News news,
+            Supplier<Collection<String>> helms,
+            Supplier<Collection<String>> members,
+            long callMs,
             Log log) {
         this.rules = settings.metering();
         this.node = settings.node();
@@ -143,7 +156,9 @@
         s.heard = clock.now();
         m.path("windows").fields().forEachRemaining(w -> {
             Map<String, Integer> of = new HashMap<>();
-            w.getValue().fields().forEachRemaining(t -> of.put(t.getKey(), t.getValue().asInt()));
+            w.getValue()
+                    .fields()
+                    .forEachRemaining(t -> of.put(t.getKey(), t.getValue().asInt()));
             s.windows.put(Long.parseLong(w.getKey()), of);
         });
         while (s.windows.size() > kept + 2) {
@@ -274,9 +289,13 @@
         heard.fields().forEachRemaining(f -> {
             JsonNode has = into.get(f.getKey());
             // A sum only grows until it is final, but for runs that were taken back: the one heard last counts.
-            boolean newer = has == null || f.getValue().path("through").asLong() > has.path("through").asLong()
-                    || f.getValue().path("through").asLong() == has.path("through").asLong() && f.getValue().has("counts")
-                    && total(f.getValue()) > total(has);
+            boolean newer = has == null
+                    || f.getValue().path("through").asLong()
+                            > has.path("through").asLong()
+                    || f.getValue().path("through").asLong()
+                                    == has.path("through").asLong()
+                            && f.getValue().has("counts")
+                            && total(f.getValue()) > total(has);
             if (newer && (f.getValue().has("counts") || has == null || !has.has("counts"))) {
                 into.put(f.getKey(), f.getValue());
             }
@@ -304,8 +323,11 @@
             return;
         }
         TreeMap<String, Integer> tallies = new TreeMap<>();
-        all.values().forEach(s -> s.path("counts").fields().forEachRemaining(
-                t -> tallies.merge(t.getKey(), t.getValue().asInt(), Integer::sum)));
+        all.values()
+                .forEach(s -> s.path("counts")
+                        .fields()
+                        .forEachRemaining(
+                                t -> tallies.merge(t.getKey(), t.getValue().asInt(), Integer::sum)));
         ObjectNode report = JsonNodeFactory.instance.objectNode().put("windowNo", w);
         ObjectNode of = report.putObject("tallies");
         tallies.forEach(of::put);
@@ -330,7 +352,11 @@
                 busy = false;
                 pauseMs = 0;
                 reported = Math.max(reported, w);
-                news.tell(Fleet.USAGE, fence, w, JsonNodeFactory.instance.objectNode().put("window", w));
+                news.tell(
+                        Fleet.USAGE,
+                        fence,
+                        w,
+                        JsonNodeFactory.instance.objectNode().put("window", w));
                 log.say(Event.USAGE_REPORTED, "window", w, "fence", fence);
             } else if (code == 409) {
                 // The platform has seen a higher fence: under this one nothing more is said.
@@ -348,8 +374,16 @@
     private void raise(long fence) {
         String leader = raft.leaderId();
         if (leader != null && !raft.leads()) {
-            wire.call(Raft.addressOf(leader), "raise", JsonNodeFactory.instance.objectNode().put("key", DUTY).put("fence", fence)
-                    .put("term", raft.term()), callMs, a -> { });
+            wire.call(
+                    Raft.addressOf(leader),
+                    "raise",
+                    JsonNodeFactory.instance
+                            .objectNode()
+                            .put("key", DUTY)
+                            .put("fence", fence)
+                            .put("term", raft.term()),
+                    callMs,
+                    a -> {});
         } else {
             duties.raise(DUTY, fence);
         }
@@ -357,7 +391,12 @@
 
     ObjectNode status() {
         Ledger.Duty d = ledger.duties().get(DUTY);
-        return JsonNodeFactory.instance.objectNode().put("holder", d == null ? "" : d.holder()).put("fence", d == null ? 0 : d.fence())
-                .put("oldest", reported() + 1).put("current", current()).put("heard", sums.size());
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("holder", d == null ? "" : d.holder())
+                .put("fence", d == null ? 0 : d.fence())
+                .put("oldest", reported() + 1)
+                .put("current", current())
+                .put("heard", sums.size());
     }
 }
--- a/src/main/java/bramblespool/coordination/News.java
+++ b/src/main/java/bramblespool/coordination/News.java
@@ -31,8 +31,8 @@
         }
 
         long hash() {
-            return Rendezvous.mix(key.hashCode() * 0x9E3779B97F4A7C15L ^ life * 0xC2B2AE3D27D4EB4FL
-                    ^ seq * 0x165667B19E3779F9L);
+            return Rendezvous.mix(
+                    key.hashCode() * 0x9E3779B97F4A7C15L ^ life * 0xC2B2AE3D27D4EB4FL ^ seq * 0x165667B19E3779F9L);
         }
 
         int branch() {
@@ -41,7 +41,11 @@
     }
 
     /** Whom an item came from. */
-    public enum Source { OWN, SIDE, CELL }
+    public enum Source {
+        OWN,
+        SIDE,
+        CELL
+    }
 
     /** Whom a daemon tells of what it has just learned, and with whom it compares what it knows. */
     public interface Circle {
@@ -92,7 +96,7 @@
     private long life = 1;
     private long seq;
     private long hash;
-    private Runnable outlived = () -> { };
+    private Runnable outlived = () -> {};
 
     /** {@code gatherMs}: how long changes heard of are gathered before they are passed on; {@code cell}: in a helm. */
     public News(Clock clock, Wire wire, long callMs, long gatherMs, boolean cell, Circle circle) {
@@ -223,7 +227,7 @@
 
     /** Compares digests with one daemon and exchanges what either lacks. */
     public void compare(String to) {
-        compare(to, x -> { });
+        compare(to, x -> {});
     }
 
     /** Compares, and says what came of it once what was lacking has been taken. */
@@ -256,7 +260,7 @@
             ObjectNode answer = message();
             write(answer, give);
             ArrayNode want = answer.putArray("want");
-            for (Iterator<Map.Entry<String, JsonNode>> f = theirs.fields(); f.hasNext();) {
+            for (Iterator<Map.Entry<String, JsonNode>> f = theirs.fields(); f.hasNext(); ) {
                 Map.Entry<String, JsonNode> e = f.next();
                 if (stub(e.getKey(), e.getValue()).newerThan(items.get(e.getKey()))) {
                     want.add(e.getKey());
@@ -286,14 +290,22 @@
     private static void write(ObjectNode m, Collection<Item> list) {
         var a = m.putArray("items");
         for (Item i : list) {
-            a.addObject().put("key", i.key).put("life", i.life).put("seq", i.seq).set("body", i.body);
+            a.addObject()
+                    .put("key", i.key)
+                    .put("life", i.life)
+                    .put("seq", i.seq)
+                    .set("body", i.body);
         }
     }
 
     public void merge(JsonNode m) {
         Source from = m.path("cell").asBoolean() ? Source.CELL : Source.SIDE;
         for (JsonNode n : m.path("items")) {
-            Item i = new Item(n.path("key").asText(), n.path("life").asLong(), n.path("seq").asLong(), n.path("body"));
+            Item i = new Item(
+                    n.path("key").asText(),
+                    n.path("life").asLong(),
+                    n.path("seq").asLong(),
+                    n.path("body"));
             if (i.key.isEmpty() || !i.body.isObject()) {
                 continue;
             }
--- a/src/main/java/bramblespool/coordination/Operations.java
+++ b/src/main/java/bramblespool/coordination/Operations.java
@@ -47,6 +47,7 @@
         private State state = State.CLAIMING;
         /** The last claim: every one is written differently, so that one given up is never taken for a later one. */
         private String claim;
+
         private boolean won;
         private Answer answer;
         private int bytes;
@@ -84,8 +85,7 @@
         }
     }
 
-    private record Expiry(String id, long at) {
-    }
+    private record Expiry(String id, long at) {}
 
     /** An operation and its claim are known for longer than the window, which begins when the client sends the request. */
     private static final double KEEPS = 1.25;
@@ -221,7 +221,7 @@
 
     /** Answers expire nearly in the order in which they came. */
     private void removeAnswered(Operation o) {
-        for (Iterator<Operation> i = answered.iterator(); i.hasNext();) {
+        for (Iterator<Operation> i = answered.iterator(); i.hasNext(); ) {
             if (i.next() == o) {
                 i.remove();
                 return;
--- a/src/main/java/bramblespool/coordination/Pace.java
+++ b/src/main/java/bramblespool/coordination/Pace.java
@@ -10,11 +10,13 @@
 final class Pace {
     /** How much one request weighs in what is usual, and in how it stands now. */
     private static final double USUAL = 0.05;
+
     private static final double NOW = 0.25;
     /** While it is slow, what is usual is hardly changed by it. */
     private static final double USUAL_WHEN_SLOW = 0.005;
     /** So many times its usual work make each step; it is left again below this part of that. */
     private static final double[] STEPS = {2, 3.5};
+
     private static final double LEAVES = 0.7;
 
     /** For this part of that span nothing is forgotten. */
--- a/src/main/java/bramblespool/coordination/Quota.java
+++ b/src/main/java/bramblespool/coordination/Quota.java
@@ -16,12 +16,14 @@
      * part by the other voters together, one share each, while there is no owner.
      */
     private static final double OWNER_SHARE = 0.2;
+
     private static final double SPARE_SHARE = 0.75;
     /**
      * A side that was denied a token asks for that tenant again after a part of the window: this where denials are few, and
      * up to as much more as the second says where they are all there is.
      */
     private static final int LEAST_WAIT = 100;
+
     private static final int MOST_WAIT = 8;
     /** How much one answer weighs in the share of denials. */
     private static final double PRESS = 0.05;
--- a/src/main/java/bramblespool/coordination/Registers.java
+++ b/src/main/java/bramblespool/coordination/Registers.java
@@ -30,7 +30,11 @@
  */
 public final class Registers {
     /** How a round ended: the value is ours; another one stands; or nobody can tell, and it counts as not ours. */
-    public enum Outcome { WON, HELD, UNSURE }
+    public enum Outcome {
+        WON,
+        HELD,
+        UNSURE
+    }
 
     public record Result(Outcome outcome, String value) {
         private static final Result UNKNOWN = new Result(Outcome.UNSURE, null);
@@ -59,18 +63,19 @@
     private final Acceptor acceptor;
     /** Words gathered for the next write, and whom to tell then; null where there are none. */
     private Map<String, Vault.Kept> unkept;
+
     private List<Runnable> unkeptDone;
     private final Map<String, ArrayList<Item>> outgoing = new LinkedHashMap<>();
     /** Registers whose present value is known here to be chosen. */
     private final Set<String> chosen = new HashSet<>();
+
     private long settledSince;
     private boolean settling;
     private long rounds;
     private long unsure;
 
     /** One acceptor's part of one round. */
-    private record Item(boolean prepare, String id, Ballot ballot, String value, Consumer<Reply> reply) {
-    }
+    private record Item(boolean prepare, String id, Ballot ballot, String value, Consumer<Reply> reply) {}
 
     /** Who has agreed and who has not, and whether that decides the round, under the voters that were in force when it began. */
     private final class Count {
@@ -97,12 +102,20 @@
     }
 
     /** What an acceptor answers: whether it agrees, and what it has accepted; or null where it is silent. */
-    private record Reply(boolean ok, long seen, Ballot accepted, String value) {
-    }
+    private record Reply(boolean ok, long seen, Ballot accepted, String value) {}
 
     /** {@code copies}: how many durable copies there must be at least; {@code lifeMs}: how long a value is kept. */
-    public Registers(Ledger ledger, String self, int copies, Vault vault, Clock clock, Wire wire, long gatherMs, long callMs,
-            long lifeMs, Log log) {
+    public Registers(
+            Ledger ledger,
+            String self,
+            int copies,
+            Vault vault,
+            Clock clock,
+            Wire wire,
+            long gatherMs,
+            long callMs,
+            long lifeMs,
+            Log log) {
         this.ledger = ledger;
         this.self = self;
         this.founder = self.endsWith("#" + Raft.FOUNDER);
@@ -164,7 +177,8 @@
         if (!settled()) {
             return false;
         }
-        List<String> addresses = ledger.voters().keySet().stream().map(Raft::addressOf).toList();
+        List<String> addresses =
+                ledger.voters().keySet().stream().map(Raft::addressOf).toList();
         // Two voters at one address are a lost disk and its successor: neither goes first until one of them is gone.
         return Set.copyOf(addresses).size() == addresses.size()
                 && Raft.addressOf(self).equals(Rendezvous.first(sliceOf(id), addresses));
@@ -196,6 +210,7 @@
         private final String instead;
         /** Whether a value that stands is as good as the own one. */
         private final boolean any;
+
         private final Consumer<Result> done;
         private long number;
         private int tries;
@@ -231,7 +246,10 @@
                 accept(new Ballot(0, ledger.votersSince(), self), value);
             } else if (c != null && value.equals(c.value()) && chosen.contains(id)) {
                 end(new Result(Outcome.WON, value));
-            } else if (c != null && c.value() != null && !c.value().equals(value) && !c.value().equals(instead)) {
+            } else if (c != null
+                    && c.value() != null
+                    && !c.value().equals(value)
+                    && !c.value().equals(instead)) {
                 // It may not have been chosen; whoever asks is only told not to go on.
                 end(new Result(Outcome.HELD, c.value()));
             } else {
@@ -422,7 +440,10 @@
     }
 
     private static Reply read(JsonNode a) {
-        return new Reply(a.path(0).asInt() == 1, a.path(1).asLong(), Ballot.read(a.path(2).asText("")),
+        return new Reply(
+                a.path(0).asInt() == 1,
+                a.path(1).asLong(),
+                Ballot.read(a.path(2).asText("")),
                 a.path(3).isTextual() ? a.path(3).asText() : null);
     }
 
@@ -448,7 +469,8 @@
             boolean was = before != null && i.ballot.equals(before.accepted());
             // A round without a prepare is the right of one voter under these voters, and of nobody under others.
             boolean late = i.ballot.number() == 0 && i.ballot.epoch() != ledger.votersSince();
-            boolean ok = !late && (i.prepare ? acceptor.promise(i.id, i.ballot) : acceptor.accept(i.id, i.ballot, i.value));
+            boolean ok =
+                    !late && (i.prepare ? acceptor.promise(i.id, i.ballot) : acceptor.accept(i.id, i.ballot, i.value));
             if (ok && !was) {
                 words.put(i.id, acceptor.word(i.id));
                 chosen.remove(i.id);
@@ -458,7 +480,9 @@
                 replies.add(new Reply(false, 0, null, null));
                 continue;
             }
-            long seen = Math.max(c.promised() == null ? 0 : c.promised().number(), c.accepted() == null ? 0 : c.accepted().number());
+            long seen = Math.max(
+                    c.promised() == null ? 0 : c.promised().number(),
+                    c.accepted() == null ? 0 : c.accepted().number());
             replies.add(new Reply(ok, seen, c.accepted(), c.value()));
         }
         // Also where nothing changed: what is told may still be on its way to the disk.
@@ -488,7 +512,8 @@
             return false;
         }
         // Under other voters than those in force here a majority would be another one.
-        boolean fits = self.equals(m.path("to").asText()) && m.path("epoch").asLong() == ledger.votersSince() && settled();
+        boolean fits =
+                self.equals(m.path("to").asText()) && m.path("epoch").asLong() == ledger.votersSince() && settled();
         if (!fits) {
             answer.accept(JsonNodeFactory.instance.objectNode());
         } else if (kind.equals("registers")) {
@@ -502,7 +527,12 @@
     private void asked(JsonNode m, Consumer<ObjectNode> answer) {
         List<Item> items = new ArrayList<>();
         for (JsonNode a : m.path("items")) {
-            items.add(new Item(a.path(0).asInt() == 1, a.path(1).asText(), Ballot.read(a.path(2).asText()), a.path(3).asText(), null));
+            items.add(new Item(
+                    a.path(0).asInt() == 1,
+                    a.path(1).asText(),
+                    Ballot.read(a.path(2).asText()),
+                    a.path(3).asText(),
+                    null));
         }
         List<Reply> replies = new ArrayList<>();
         take(items, replies, () -> {
@@ -561,7 +591,11 @@
     }
 
     private void read(String from, long epoch, String after, Map<String, Vault.Kept> into, Consumer<Boolean> done) {
-        ObjectNode m = JsonNodeFactory.instance.objectNode().put("to", from).put("epoch", epoch).put("after", after);
+        ObjectNode m = JsonNodeFactory.instance
+                .objectNode()
+                .put("to", from)
+                .put("epoch", epoch)
+                .put("after", after);
         wire.call(Raft.addressOf(from), "registers", m, callMs * 4, a -> {
             if (a == null || !a.path("items").isArray() || ledger.votersSince() != epoch) {
                 done.accept(false);
@@ -570,7 +604,10 @@
             String last = after;
             for (JsonNode i : a.path("items")) {
                 last = i.path(0).asText();
-                if (acceptor.copy(last, Ballot.read(i.path(1).asText()), i.path(2).isTextual() ? i.path(2).asText() : null)) {
+                if (acceptor.copy(
+                        last,
+                        Ballot.read(i.path(1).asText()),
+                        i.path(2).isTextual() ? i.path(2).asText() : null)) {
                     into.put(last, acceptor.word(last));
                 }
             }
@@ -588,7 +625,9 @@
         List<String> ids = acceptor.after(after, PAGE);
         for (String id : ids) {
             Acceptor.Cell c = acceptor.get(id);
-            ArrayNode a = list.addArray().add(id).add(c.accepted() == null ? "" : c.accepted().written());
+            ArrayNode a = list.addArray()
+                    .add(id)
+                    .add(c.accepted() == null ? "" : c.accepted().written());
             if (c.value() != null) {
                 a.add(c.value());
             }
--- a/src/main/java/bramblespool/coordination/Rendezvous.java
+++ b/src/main/java/bramblespool/coordination/Rendezvous.java
@@ -4,8 +4,7 @@
 
 /** Rendezvous hashing: who, of those there are, is first in line for a key. */
 final class Rendezvous {
-    private Rendezvous() {
-    }
+    private Rendezvous() {}
 
     static long weight(String key, String who) {
         return mix(key.hashCode() * 0x9E3779B97F4A7C15L ^ who.hashCode() * 0xC2B2AE3D27D4EB4FL) & Long.MAX_VALUE;
--- a/src/main/java/bramblespool/coordination/Roster.java
+++ b/src/main/java/bramblespool/coordination/Roster.java
@@ -28,8 +28,7 @@
  */
 final class Roster {
     /** A hem that may be steward; {@code holds}: the servers it itself says it has gates for in its present life. */
-    record Hem(String node, long life, String peer, String zone, Set<String> holds) {
-    }
+    record Hem(String node, long life, String peer, String zone, Set<String> holds) {}
 
     /** Pages after which a list without end is given up. */
     private static final int PAGES = 1000;
@@ -42,10 +41,12 @@
         private final long life;
         /** The number of the assignment last made for this hem, and of the one it last confirmed. */
         long made;
+
         long confirmed;
         List<Listing.Entry> servers = List.of();
         /** What it may have a gate for: what it confirmed, and what was sent to it since. */
         Set<String> may = new HashSet<>();
+
         boolean busy;
 
         Told(Hem h) {
@@ -57,6 +58,7 @@
     private final String zone;
     /** Tells the lives of one helm apart. */
     private final String self;
+
     private final Clock clock;
     private final Platform platform;
     private final Wire wire;
@@ -68,19 +70,29 @@
     private boolean active;
     /** Until when the list is read without the duty. */
     private long watchUntil;
+
     private boolean leaderless;
     /** The leaving servers that each hem has been told of without the duty. */
     private final Map<String, Set<String>> warned = new HashMap<>();
+
     private long reading;
     private long nextRead;
     private long backoff;
     /** Numbers assignments; never starts over within a life, for the duty may come back under the same fence. */
     private long n;
+
     private Map<String, Listing.Entry> list;
     private final Map<String, String> steward = new HashMap<>();
     private final Map<String, Told> told = new HashMap<>();
 
-    Roster(String zone, Clock clock, Platform platform, Wire wire, Supplier<List<Hem>> hems, long periodMs, long callMs,
+    Roster(
+            String zone,
+            Clock clock,
+            Platform platform,
+            Wire wire,
+            Supplier<List<Hem>> hems,
+            long periodMs,
+            long callMs,
             Log log) {
         this.zone = zone;
         this.self = Long.toHexString((long) (clock.chance() * Long.MAX_VALUE));
@@ -235,8 +247,8 @@
         if (live.isEmpty()) {
             return;
         }
-        told.entrySet().removeIf(t -> !members.containsKey(t.getKey())
-                || members.get(t.getKey()).life != t.getValue().life);
+        told.entrySet()
+                .removeIf(t -> !members.containsKey(t.getKey()) || members.get(t.getKey()).life != t.getValue().life);
         for (Hem h : members.values()) {
             if (!told.containsKey(h.node)) {
                 told.put(h.node, new Told(h));
@@ -300,8 +312,11 @@
             Listing.Entry x = a.get(i);
             Listing.Entry y = b.get(i);
             // How long a server stays slow runs down by itself and is no change.
-            if (!x.id().equals(y.id()) || x.draining() != y.draining() || x.capacity() != y.capacity()
-                    || !x.address().equals(y.address()) || y.warmupLeft() > x.warmupLeft()) {
+            if (!x.id().equals(y.id())
+                    || x.draining() != y.draining()
+                    || x.capacity() != y.capacity()
+                    || !x.address().equals(y.address())
+                    || y.warmupLeft() > x.warmupLeft()) {
                 return false;
             }
         }
@@ -312,7 +327,11 @@
         t.busy = true;
         long made = t.made;
         long inFence = fence;
-        ObjectNode m = JsonNodeFactory.instance.objectNode().put("zone", zone).put("fence", fence).put("n", made)
+        ObjectNode m = JsonNodeFactory.instance
+                .objectNode()
+                .put("zone", zone)
+                .put("fence", fence)
+                .put("n", made)
                 .put("reader", self);
         ArrayNode servers = m.putArray("servers");
         Set<String> ids = new HashSet<>();
--- a/src/main/java/bramblespool/coordination/Shadow.java
+++ b/src/main/java/bramblespool/coordination/Shadow.java
@@ -11,8 +11,7 @@
  */
 public final class Shadow {
     /** What a mark names here. */
-    public record Choice(Config config, boolean test) {
-    }
+    public record Choice(Config config, boolean test) {}
 
     private static final String REAL = "0";
     private static final String TEST = "1";
@@ -25,12 +24,13 @@
     private final Config[] installed = new Config[2];
     /** The map: which slot is real; the other is shadow. */
     private int real;
+
     private long tagOld = -1;
     private long tagNew = -1;
     private boolean tagging;
     private boolean swapped;
     private Clock.Timer timeout;
-    private Runnable changed = () -> { };
+    private Runnable changed = () -> {};
 
     public Shadow(Clock clock, long revertMs, Log log) {
         this.clock = clock;
--- a/src/main/java/bramblespool/coordination/Slack.java
+++ b/src/main/java/bramblespool/coordination/Slack.java
@@ -13,10 +13,10 @@
 public final class Slack {
     /** The part of the slack that is leased; the rest is saved up by the daemons, or left for calls of repeated runs. */
     private static final double LEASED_SHARE = 0.25;
+
     private static final int AT_ONCE = 2;
 
-    private record Grant(long at, int tries) {
-    }
+    private record Grant(long at, int tries) {}
 
     private static final class Owned {
         final long fence;
--- a/src/main/java/bramblespool/coordination/Slices.java
+++ b/src/main/java/bramblespool/coordination/Slices.java
@@ -29,6 +29,7 @@
 final class Slices {
     /** Ratios to {@code quiet}: how long a lease lasts, and how often it is asked for. */
     private static final int LEASE = 7;
+
     private static final int RENEWALS = 24;
     /** The owner counts its lease for this part of it: clocks run alike, but not quite. */
     private static final double OWN_PART = 0.9;
@@ -60,9 +61,11 @@
     private long votingSince;
     /** As a voter: when each helm was last granted a lease, and until when it is granted none. */
     private final Map<String, Long> granted = new HashMap<>();
+
     private final Map<String, Long> barred = new HashMap<>();
     /** As an owner: this lease's name, and since when a majority stands behind it. */
     private final String process;
+
     private String life;
     private long lives;
     private long leasedSince = Long.MIN_VALUE / 2;
@@ -72,10 +75,19 @@
     private long lastTerm;
     /** Slices that nobody had owned for as long as a register lives, each with its term. */
     private final Set<String> firstOwned = new HashSet<>();
+
     private boolean lapsed;
     private long wantedAt = Long.MIN_VALUE / 2;
 
-    Slices(Ledger ledger, Registers registers, String self, Clock clock, Wire wire, long quiet, long registerLife, Log log) {
+    Slices(
+            Ledger ledger,
+            Registers registers,
+            String self,
+            Clock clock,
+            Wire wire,
+            long quiet,
+            long registerLife,
+            Log log) {
         this.ledger = ledger;
         this.registers = registers;
         this.self = self;
@@ -158,7 +170,11 @@
             if (voter.equals(self)) {
                 one.accept(voter, decide(kind, m));
             } else {
-                wire.call(Raft.addressOf(voter), kind, m.deepCopy().put("to", voter).put("epoch", ledger.votersSince()), leaseMs,
+                wire.call(
+                        Raft.addressOf(voter),
+                        kind,
+                        m.deepCopy().put("to", voter).put("epoch", ledger.votersSince()),
+                        leaseMs,
                         a -> one.accept(voter, a != null && a.path("ok").asBoolean()));
             }
         }
--- a/src/main/java/bramblespool/coordination/Steward.java
+++ b/src/main/java/bramblespool/coordination/Steward.java
@@ -57,7 +57,9 @@
             if (last.fence > fence) {
                 log.once(Event.ASSIGNMENT_REFUSED, zone + fence, "zone", zone, "fence", fence, "stands", last.fence);
             }
-            return out.put("ok", last.equals(new Turn(fence, n, reader))).put("fence", last.fence).put("n", last.n);
+            return out.put("ok", last.equals(new Turn(fence, n, reader)))
+                    .put("fence", last.fence)
+                    .put("n", last.n);
         }
         turns.put(zone, new Turn(fence, n, reader));
         Map<String, Gate> mine = byZone.computeIfAbsent(zone, z -> new HashMap<>());
--- a/src/main/java/bramblespool/coordination/Tally.java
+++ b/src/main/java/bramblespool/coordination/Tally.java
@@ -70,7 +70,11 @@
 
     /** What the helm does not have yet. {@code through}: the windows before this one are over here. */
     ObjectNode tell() {
-        ObjectNode out = JsonNodeFactory.instance.objectNode().put("life", life).put("through", current()).put("change", changes);
+        ObjectNode out = JsonNodeFactory.instance
+                .objectNode()
+                .put("life", life)
+                .put("through", current())
+                .put("change", changes);
         ObjectNode of = out.putObject("windows");
         for (Map.Entry<Long, Window> e : windows.entrySet()) {
             if (e.getValue().taken < e.getValue().changed) {
--- a/src/main/java/bramblespool/coordination/Terms.java
+++ b/src/main/java/bramblespool/coordination/Terms.java
@@ -35,11 +35,29 @@
         long in = m.path("round").asLong();
         heard(term);
         if (term < highest) {
-            log.say(Event.LOWER_TERM_REFUSED, "kind", kind, "phase", m.path("phase").asInt(), "term", term, "known", highest);
+            log.say(
+                    Event.LOWER_TERM_REFUSED,
+                    "kind",
+                    kind,
+                    "phase",
+                    m.path("phase").asInt(),
+                    "term",
+                    term,
+                    "known",
+                    highest);
             return false;
         }
         if (in < round) {
-            log.say(Event.EARLIER_ROUND_REFUSED, "kind", kind, "phase", m.path("phase").asInt(), "round", in, "known", round);
+            log.say(
+                    Event.EARLIER_ROUND_REFUSED,
+                    "kind",
+                    kind,
+                    "phase",
+                    m.path("phase").asInt(),
+                    "round",
+                    in,
+                    "known",
+                    round);
             return false;
         }
         round = in;
--- a/src/main/java/bramblespool/coordination/WeftCore.java
+++ b/src/main/java/bramblespool/coordination/WeftCore.java
@@ -32,6 +32,7 @@
     private static final int GATHER = 100;
     /** Ratios to {@code quiet}. */
     private static final int RENEWALS = 6;
+
     private static final int CALLS = 10;
     /** For this part of its last time a daemon that is to end goes on taking work for its servers. */
     private static final double SERVES_ON = 0.6;
@@ -51,6 +52,7 @@
     public final Gate gate;
     /** A hem's servers; null in a weft. */
     private final Steward steward;
+
     public final Budget budget;
     public final Admission admission;
     public final Operations operations;
@@ -58,6 +60,7 @@
     public final Tally tally;
     /** This side and its life, as its claims name it. */
     private final String claimer;
+
     private final Membership membership;
     private final Terms terms;
     private final Confirmation confirmation;
@@ -89,19 +92,36 @@
         });
         this.claimer = settings.peer() + " " + Long.toHexString((long) (clock.chance() * (1L << 52)));
         TrueTime time = new TrueTime(clock);
-        this.tally = settings.metering() == null ? null
-                : new Tally(time, claimer, settings.metering().window(), settings.metering().late());
+        this.tally = settings.metering() == null
+                ? null
+                : new Tally(
+                        time,
+                        claimer,
+                        settings.metering().window(),
+                        settings.metering().late());
         this.terms = new Terms(log);
-        this.confirmation = new Confirmation(() -> Fleet.helms(news, this.settings), this::newest, news, wire, callMs, log);
-        this.membership = new Membership(() -> this.settings, news, terms, confirmation, tally, time, clock, wire, callMs, b.quiet() / RENEWALS, log);
+        this.confirmation =
+                new Confirmation(() -> Fleet.helms(news, this.settings), this::newest, news, wire, callMs, log);
+        this.membership = new Membership(
+                () -> this.settings,
+                news,
+                terms,
+                confirmation,
+                tally,
+                time,
+                clock,
+                wire,
+                callMs,
+                b.quiet() / RENEWALS,
+                log);
         this.fleet = new Fleet(clock, settings.node(), settings.zone(), b.quiet() / 3, gates::load);
         this.shadow = new Shadow(clock, b.apply() * 2 / 5, log);
         if (settings.edge()) {
             this.gate = null;
             this.steward = new Steward(clock, Gate.Rules.listed(settings), gates, this::tellSelf, log);
         } else {
-            this.gate = new Gate(clock, Gate.Rules.beating(settings), settings.appAddr(), settings.target(),
-                    this::tellSelf, log);
+            this.gate = new Gate(
+                    clock, Gate.Rules.beating(settings), settings.appAddr(), settings.target(), this::tellSelf, log);
             this.steward = null;
             gates.add(gate);
         }
@@ -164,8 +184,12 @@
     // ---- news
 
     private void tellSelf() {
-        ObjectNode self = JsonNodeFactory.instance.objectNode().put("peer", settings.peer())
-                .put("inbound", settings.inbound()).put("zone", settings.zone()).put("gone", gone);
+        ObjectNode self = JsonNodeFactory.instance
+                .objectNode()
+                .put("peer", settings.peer())
+                .put("inbound", settings.inbound())
+                .put("zone", settings.zone())
+                .put("gone", gone);
         self.set("doors", gates.doors(gone));
         news.tell(self);
     }
@@ -174,7 +198,12 @@
         fleet.hear(i);
         budget.sharers(fleet.sides());
         if (i.key().equals(Fleet.EVAC + settings.zone())) {
-            log.say(Event.EVACUATION, "zone", settings.zone(), "on", i.body().path("on").asBoolean());
+            log.say(
+                    Event.EVACUATION,
+                    "zone",
+                    settings.zone(),
+                    "on",
+                    i.body().path("on").asBoolean());
             gates.evacuated(i.body().path("on").asBoolean());
         } else if (i.key().equals(Fleet.ORDER)) {
             catchUp();
@@ -228,7 +257,10 @@
         wire.call(helm(), "lease", JsonNodeFactory.instance.objectNode().put("service", service), callMs, a -> {
             if (a != null) {
                 // Counted from when it was asked for: the owner counts from no earlier.
-                budget.leased(service, a.path("tries").asInt(), clock.now() + a.path("life").asLong() - callMs);
+                budget.leased(
+                        service,
+                        a.path("tries").asInt(),
+                        clock.now() + a.path("life").asLong() - callMs);
             }
         });
     }
@@ -288,7 +320,8 @@
         if (sessionOpen()) {
             from.add(helm());
         }
-        // Other helms have it, where the own one does not; near sides may be as far behind as this one. Without a session the
+        // Other helms have it, where the own one does not; near sides may be as far behind as this one. Without a
+        // session the
         // helms may all be gone, and each that is silent costs time, which one that has nothing to give does not.
         List<String> helms = new ArrayList<>(Fleet.helms(news, settings));
         helms.removeAll(from);
@@ -308,24 +341,40 @@
             fetching = false;
             return;
         }
-        wire.call(from.get(at), "doc", JsonNodeFactory.instance.objectNode().put("epoch", epoch).put("stamp", stamp),
-                settings.bounds().apply() / FETCHES, a -> {
-            if (a != null && a.path("doc").isTextual()) {
-                try {
-                    Config got = Config.unpack(a.path("doc").asText());
-                    if (got.is(epoch, stamp)) {
-                        shadow.adopt(got, marked);
-                        fetching = false;
-                        catchUp();
-                        return;
+        wire.call(
+                from.get(at),
+                "doc",
+                JsonNodeFactory.instance.objectNode().put("epoch", epoch).put("stamp", stamp),
+                settings.bounds().apply() / FETCHES,
+                a -> {
+                    if (a != null && a.path("doc").isTextual()) {
+                        try {
+                            Config got = Config.unpack(a.path("doc").asText());
+                            if (got.is(epoch, stamp)) {
+                                shadow.adopt(got, marked);
+                                fetching = false;
+                                catchUp();
+                                return;
+                            }
+                            log.once(
+                                    Event.MESSAGE_DROPPED,
+                                    "doc" + got.tag(),
+                                    "kind",
+                                    "doc",
+                                    "cause",
+                                    "another document");
+                        } catch (Config.Invalid e) {
+                            log.once(
+                                    Event.MESSAGE_DROPPED,
+                                    "doc" + e.getMessage(),
+                                    "kind",
+                                    "doc",
+                                    "cause",
+                                    e.getMessage());
+                        }
                     }
-                    log.once(Event.MESSAGE_DROPPED, "doc" + got.tag(), "kind", "doc", "cause", "another document");
-                } catch (Config.Invalid e) {
-                    log.once(Event.MESSAGE_DROPPED, "doc" + e.getMessage(), "kind", "doc", "cause", e.getMessage());
-                }
-            }
-            fetch(epoch, stamp, marked, from, at + 1);
-        });
+                    fetch(epoch, stamp, marked, from, at + 1);
+                });
     }
 
     /** What a call's mark tells about the weft it came from: one that still tags with an older version is told the news. */
@@ -374,7 +423,8 @@
             case "phase" -> answer.accept(phase(m));
             case "assign" -> answer.accept(steward == null ? null : steward.assign(m));
             case "ping" -> answer.accept(JsonNodeFactory.instance.objectNode());
-            case "doc" -> answer.accept(doc(m.path("epoch").asLong(), m.path("stamp").asText()));
+            case "doc" ->
+                answer.accept(doc(m.path("epoch").asLong(), m.path("stamp").asText()));
             case "operation" -> answer.accept(operation(m));
             case "status" -> answer.accept(status());
             default -> {
@@ -417,13 +467,23 @@
             answer.accept(null);
             return;
         }
-        wire.call(peer, "operation", JsonNodeFactory.instance.objectNode().put("register", register).put("claim", claim)
-                .put("print", print), withinMs, answer);
+        wire.call(
+                peer,
+                "operation",
+                JsonNodeFactory.instance
+                        .objectNode()
+                        .put("register", register)
+                        .put("claim", claim)
+                        .put("print", print),
+                withinMs,
+                answer);
     }
 
     private ObjectNode doc(long epoch, String stamp) {
         Config c = shadow.real();
-        return c == null || !c.is(epoch, stamp) ? null : JsonNodeFactory.instance.objectNode().put("doc", c.packed);
+        return c == null || !c.is(epoch, stamp)
+                ? null
+                : JsonNodeFactory.instance.objectNode().put("doc", c.packed);
     }
 
     private ObjectNode phase(JsonNode m) {
@@ -441,7 +501,11 @@
             case 1 -> {
                 try {
                     Config candidate = Config.unpack(m.path("doc").asText());
-                    String no = shadow.distribute(m.path("old").asLong(), fresh, candidate, m.path("open").asLong());
+                    String no = shadow.distribute(
+                            m.path("old").asLong(),
+                            fresh,
+                            candidate,
+                            m.path("open").asLong());
                     if (no != null) {
                         behind();
                         return out.put("ok", false).put("why", no);
@@ -467,12 +531,24 @@
     }
 
     private ObjectNode status() {
-        ObjectNode n = JsonNodeFactory.instance.objectNode().put("role", steward == null ? "weft" : "hem")
-                .put("node", settings.node()).put("zone", settings.zone()).put("epoch", shadow.epoch())
-                .put("tagging", shadow.tagging()).put("helm", helm()).put("session", sessionOpen()).put("ready", ready())
-                .put("term", terms.highest()).put("confirmed", confirmation.confirmed())
-                .put("open", gates.open()).put("load", gates.load()).put("capacity", gates.capacity())
-                .put("sides", fleet.sides()).put("operations", operations.held()).put("answerBytes", operations.bytes());
+        ObjectNode n = JsonNodeFactory.instance
+                .objectNode()
+                .put("role", steward == null ? "weft" : "hem")
+                .put("node", settings.node())
+                .put("zone", settings.zone())
+                .put("epoch", shadow.epoch())
+                .put("tagging", shadow.tagging())
+                .put("helm", helm())
+                .put("session", sessionOpen())
+                .put("ready", ready())
+                .put("term", terms.highest())
+                .put("confirmed", confirmation.confirmed())
+                .put("open", gates.open())
+                .put("load", gates.load())
+                .put("capacity", gates.capacity())
+                .put("sides", fleet.sides())
+                .put("operations", operations.held())
+                .put("answerBytes", operations.bytes());
         var servers = n.putArray("servers");
         gates.servers().forEach(servers::add);
         if (shadow.shadow() != null) {
--- a/src/main/java/bramblespool/protocol/Beat.java
+++ b/src/main/java/bramblespool/protocol/Beat.java
@@ -6,8 +6,15 @@
 import java.util.List;
 
 /** A server's word about itself. */
-public record Beat(String id, String target, String address, String zone, int capacity, boolean draining,
-        long warmupLeft, long callSeq) {
+public record Beat(
+        String id,
+        String target,
+        String address,
+        String zone,
+        int capacity,
+        boolean draining,
+        long warmupLeft,
+        long callSeq) {
     private static final String PREFIX = "/bramblespool/servers/";
     private static final String BEAT = "/heartbeat";
     private static final String LEAVE = "/deregister";
@@ -33,8 +40,14 @@
         List<String> faults = new ArrayList<>();
         Fields f = new Fields(Config.tree(body), "", faults);
         String state = f.state("state");
-        Beat b = new Beat(id, f.text("target"), f.address("address", null), f.text("zone", ""),
-                (int) f.whole("capacity", null), "draining".equals(state), f.time("warmupLeft", "0ms"),
+        Beat b = new Beat(
+                id,
+                f.text("target"),
+                f.address("address", null),
+                f.text("zone", ""),
+                (int) f.whole("capacity", null),
+                "draining".equals(state),
+                f.time("warmupLeft", "0ms"),
                 f.whole("callSeq", 0L));
         if (b.capacity < 1) {
             f.fault("capacity", "must be at least 1");
--- a/src/main/java/bramblespool/protocol/Listing.java
+++ b/src/main/java/bramblespool/protocol/Listing.java
@@ -16,17 +16,29 @@
 /** One page of the platform's list of servers. */
 public record Listing(List<Entry> servers, String next) {
     /** A server as the platform lists it. */
-    public record Entry(String id, String target, String address, String zone, int capacity, boolean draining,
-            long warmupLeft) {
+    public record Entry(
+            String id, String target, String address, String zone, int capacity, boolean draining, long warmupLeft) {
         /** As our own daemons pass it on. */
         public ObjectNode write() {
-            return JsonNodeFactory.instance.objectNode().put("id", id).put("target", target).put("address", address)
-                    .put("capacity", capacity).put("draining", draining).put("cold", warmupLeft);
+            return JsonNodeFactory.instance
+                    .objectNode()
+                    .put("id", id)
+                    .put("target", target)
+                    .put("address", address)
+                    .put("capacity", capacity)
+                    .put("draining", draining)
+                    .put("cold", warmupLeft);
         }
 
         public static Entry read(JsonNode n) {
-            return new Entry(n.path("id").asText(), n.path("target").asText(), n.path("address").asText(), "",
-                    n.path("capacity").asInt(), n.path("draining").asBoolean(), n.path("cold").asLong());
+            return new Entry(
+                    n.path("id").asText(),
+                    n.path("target").asText(),
+                    n.path("address").asText(),
+                    "",
+                    n.path("capacity").asInt(),
+                    n.path("draining").asBoolean(),
+                    n.path("cold").asLong());
         }
     }
 
@@ -63,8 +75,14 @@
         }
         Fields f = new Fields(e.getAsJsonObject(), "servers." + zone + "[" + out.size() + "].", faults);
         String state = f.state("state");
-        Entry s = new Entry(f.text("id"), f.text("target"), f.address("address", null), zone,
-                (int) f.whole("capacity", null), "draining".equals(state), f.time("warmupLeft", "0ms"));
+        Entry s = new Entry(
+                f.text("id"),
+                f.text("target"),
+                f.address("address", null),
+                zone,
+                (int) f.whole("capacity", null),
+                "draining".equals(state),
+                f.time("warmupLeft", "0ms"));
         if (s.capacity < 1) {
             f.fault("capacity", "must be at least 1");
         }
--- a/src/main/java/bramblespool/protocol/Names.java
+++ b/src/main/java/bramblespool/protocol/Names.java
@@ -20,6 +20,7 @@
     public static final HttpString OPERATION = new HttpString("X-Operation-Key");
     /** Between daemons of the data plane only. */
     public static final HttpString MARK = new HttpString("X-Spool-Mark");
+
     public static final HttpString SERVICE = new HttpString("X-Spool-Service");
     public static final HttpString FROM = new HttpString("X-Spool-From");
     public static final HttpString VERDICT = new HttpString("X-Spool-Verdict");
@@ -28,13 +29,21 @@
 
     private static final HttpString KEEP_ALIVE = new HttpString("Keep-Alive");
     private static final HttpString PROXY_CONNECTION = new HttpString("Proxy-Connection");
-    private static final Set<HttpString> ONE_HOP = Set.of(Headers.CONNECTION, KEEP_ALIVE, PROXY_CONNECTION, Headers.TE,
-            Headers.TRAILER, Headers.TRANSFER_ENCODING, Headers.UPGRADE, Headers.EXPECT, Headers.CONTENT_LENGTH,
-            Headers.PROXY_AUTHENTICATE, Headers.PROXY_AUTHORIZATION);
+    private static final Set<HttpString> ONE_HOP = Set.of(
+            Headers.CONNECTION,
+            KEEP_ALIVE,
+            PROXY_CONNECTION,
+            Headers.TE,
+            Headers.TRAILER,
+            Headers.TRANSFER_ENCODING,
+            Headers.UPGRADE,
+            Headers.EXPECT,
+            Headers.CONTENT_LENGTH,
+            Headers.PROXY_AUTHENTICATE,
+            Headers.PROXY_AUTHORIZATION);
     private static final Set<HttpString> OURS = Set.of(CALLER, INSTANCE, MARK, SERVICE, FROM, VERDICT, WHY, LOAD);
 
-    private Names() {
-    }
+    private Names() {}
 
     /** Copies what travels on. Headers that the system sets itself never do: each daemon sets its own. */
     public static void copy(HeaderMap from, HeaderMap to) {
@@ -55,7 +64,9 @@
         }
         for (String v : connection) {
             for (String word : v.split(",")) {
-                if (word.strip().equalsIgnoreCase(name.toString()) && !name.equals(ATTEMPT) && !name.equals(TENANT)
+                if (word.strip().equalsIgnoreCase(name.toString())
+                        && !name.equals(ATTEMPT)
+                        && !name.equals(TENANT)
                         && !name.equals(OPERATION)) {
                     return true;
                 }
--- a/src/main/java/bramblespool/protocol/Orders.java
+++ b/src/main/java/bramblespool/protocol/Orders.java
@@ -46,8 +46,7 @@
         }
     }
 
-    private Orders() {
-    }
+    private Orders() {}
 
     public static Change change(boolean amends, byte[] body) throws Config.Invalid {
         JsonObject tree = Config.tree(body);
--- a/src/main/java/bramblespool/raft/Checkpoints.java
+++ b/src/main/java/bramblespool/raft/Checkpoints.java
@@ -14,6 +14,7 @@
 final class Checkpoints {
     /** Entries from one checkpoint to the next, and how many are kept. */
     static final int EVERY = 32;
+
     private static final int KEPT = 8;
     /** Messages after which a member is asked again at the same checkpoint. */
     private static final int AGAIN = 64;
@@ -63,7 +64,10 @@
             // It knows, and asks for a snapshot by itself.
             f.differs = false;
             told.remove(f.id);
-        } else if (asked.has("check") && a.has("state") && !own.isEmpty() && asked.path("check").asLong() == own.lastKey()) {
+        } else if (asked.has("check")
+                && a.has("state")
+                && !own.isEmpty()
+                && asked.path("check").asLong() == own.lastKey()) {
             told.put(f.id, a.path("state").asText());
             judge(own.lastKey(), own.lastEntry().getValue());
         }
@@ -81,8 +85,10 @@
                 all = false;
             }
         }
-        if (states.values().stream().anyMatch(s -> !s.equals(mine) && raft.group().majority(v -> s.equals(states.get(v))))) {
-            raft.log.say(Event.STATE_DIFFERS, "member", raft.self, "index", index, "why", "a majority holds another state");
+        if (states.values().stream()
+                .anyMatch(s -> !s.equals(mine) && raft.group().majority(v -> s.equals(states.get(v))))) {
+            raft.log.say(
+                    Event.STATE_DIFFERS, "member", raft.self, "index", index, "why", "a majority holds another state");
             raft.unfit();
             raft.stepDown(raft.term(), "state differs");
             return;
--- a/src/main/java/bramblespool/raft/Configuration.java
+++ b/src/main/java/bramblespool/raft/Configuration.java
@@ -20,6 +20,7 @@
     private final int wanted;
     /** Members that have asked to be taken in, or to be let go, and when they last did. */
     private final Map<String, Long> learners = new HashMap<>();
+
     private final Map<String, Long> leavers = new HashMap<>();
     /** Voters that have not settled, and since when. */
     private final Map<String, Long> unsettled = new HashMap<>();
@@ -53,7 +54,8 @@
         if (raft.group().joint()) {
             return false;
         }
-        boolean spare = spares(now).stream().anyMatch(s -> !s.equals(id)) || now - raft.leadingSince < raft.times.election();
+        boolean spare =
+                spares(now).stream().anyMatch(s -> !s.equals(id)) || now - raft.leadingSince < raft.times.election();
         return !raft.voters().contains(id) || !spare && raft.replication.agreedWithout(id);
     }
 
@@ -66,20 +68,23 @@
         }
         Voters group = raft.group();
         unsettled.keySet().retainAll(group.all());
-        // A new voter first reads what only the others hold: one change more, and no majority might have it. All are looked at,
+        // A new voter first reads what only the others hold: one change more, and no majority might have it. All are
+        // looked at,
         // for each has a time of its own.
         if (group.all().stream().filter(v -> unsettled(v, now)).count() > 0) {
             return;
         }
         if (group.joint()) {
-            raft.append(RaftLog.members(Voters.read(group.after())), ok -> { });
+            raft.append(RaftLog.members(Voters.read(group.after())), ok -> {});
             return;
         }
         List<String> next = next(group.all(), now);
         if (!next.equals(group.all()) && suffice(Voters.read(next), now)) {
             next.stream().filter(v -> !group.contains(v)).forEach(v -> raft.log.say(Event.MEMBER_ADDED, "member", v));
-            group.all().stream().filter(v -> !next.contains(v)).forEach(v -> raft.log.say(Event.MEMBER_REMOVED, "member", v));
-            raft.append(RaftLog.members(group.to(next)), ok -> { });
+            group.all().stream()
+                    .filter(v -> !next.contains(v))
+                    .forEach(v -> raft.log.say(Event.MEMBER_REMOVED, "member", v));
+            raft.append(RaftLog.members(group.to(next)), ok -> {});
         }
     }
 
@@ -88,7 +93,9 @@
         List<String> out = new ArrayList<>(voters);
         List<String> spares = spares(now);
         List<String> going = new ArrayList<>(gone(voters, now));
-        voters.stream().filter(v -> leavers.containsKey(v) && !v.equals(raft.self) && !going.contains(v)).forEach(going::add);
+        voters.stream()
+                .filter(v -> leavers.containsKey(v) && !v.equals(raft.self) && !going.contains(v))
+                .forEach(going::add);
         for (String g : going) {
             if (out.size() > wanted) {
                 out.remove(g);
@@ -127,8 +134,9 @@
             if (v.equals(raft.self)) {
                 continue;
             }
-            if (silent > raft.times.election() && (voters.stream().anyMatch(o -> sameAddress(o, v) && caughtUp(o, now))
-                    || learners.keySet().stream().anyMatch(l -> sameAddress(l, v) && caughtUp(l, now)))) {
+            if (silent > raft.times.election()
+                    && (voters.stream().anyMatch(o -> sameAddress(o, v) && caughtUp(o, now))
+                            || learners.keySet().stream().anyMatch(l -> sameAddress(l, v) && caughtUp(l, now)))) {
                 replaced.add(v);
             } else if (silent > raft.times.absent() && now - raft.leadingSince > raft.times.election()) {
                 absent.add(v);
@@ -149,7 +157,8 @@
 
     private boolean unsettled(String id, long now) {
         Follower f = raft.replication.follower(id);
-        boolean is = id.equals(raft.self) ? !raft.machine.settled()
+        boolean is = id.equals(raft.self)
+                ? !raft.machine.settled()
                 : f != null && now - f.heard < raft.times.election() && !f.settled;
         if (!is) {
             unsettled.remove(id);
--- a/src/main/java/bramblespool/raft/Election.java
+++ b/src/main/java/bramblespool/raft/Election.java
@@ -68,8 +68,11 @@
         boolean[] won = {false};
         Consumer<String> yes = from -> {
             granted.add(from);
-            if (!won[0] && raft.group().majority(granted::contains) && (pre ? raft.role != Raft.Role.LEADER && raft.term() + 1 == asked
-                    : raft.role == Raft.Role.CANDIDATE && raft.term() == asked)) {
+            if (!won[0]
+                    && raft.group().majority(granted::contains)
+                    && (pre
+                            ? raft.role != Raft.Role.LEADER && raft.term() + 1 == asked
+                            : raft.role == Raft.Role.CANDIDATE && raft.term() == asked)) {
                 won[0] = true;
                 if (pre) {
                     campaign(false);
@@ -90,7 +93,11 @@
             if (v.equals(raft.self)) {
                 continue;
             }
-            ObjectNode m = raft.message(v).put("term", asked).put("pre", pre).put("handed", handed).put("lastIndex", raft.entries.last())
+            ObjectNode m = raft.message(v)
+                    .put("term", asked)
+                    .put("pre", pre)
+                    .put("handed", handed)
+                    .put("lastIndex", raft.entries.last())
                     .put("lastTerm", raft.entries.lastTerm());
             raft.wire.call(Raft.addressOf(v), "vote", m, raft.times.call(), a -> {
                 if (a == null) {
@@ -110,7 +117,8 @@
         boolean pre = m.path("pre").asBoolean();
         RaftLog entries = raft.entries;
         boolean upToDate = m.path("lastTerm").asLong() > entries.lastTerm()
-                || m.path("lastTerm").asLong() == entries.lastTerm() && m.path("lastIndex").asLong() >= entries.last();
+                || m.path("lastTerm").asLong() == entries.lastTerm()
+                        && m.path("lastIndex").asLong() >= entries.last();
         if (!raft.healthy() || raft.leaderNear() && !m.path("handed").asBoolean() || asked < raft.term()) {
             answer.accept(raft.reply(false));
             return;
--- a/src/main/java/bramblespool/raft/Follower.java
+++ b/src/main/java/bramblespool/raft/Follower.java
@@ -4,6 +4,7 @@
 final class Follower {
     /** Letters of entries or of a snapshot in one message: at first, at least and at most. */
     static final int FIRST_ROOM = 16 << 10;
+
     private static final int LEAST_ROOM = 2 << 10;
     private static final int MOST_ROOM = 256 << 10;
     /** Ratio of a part's time limit to what answers usually take; it is a heartbeat's interval at least. */
@@ -12,25 +13,31 @@
     private static final int MOST_DOUBLINGS = 3;
     /** Ratios to the heartbeat's interval: an answer within this makes room for more, and one later than that for less. */
     private static final double QUICK = 0.25;
+
     private static final double SLOW = 0.5;
 
     final String id;
     /** The next index to send, and the highest one known to be on its disk. */
     long next;
+
     long match;
     /** A message is under way, and another is to follow at once. */
     boolean busy;
+
     boolean again;
     /** The one under way carries entries or a part; since when, and when the last heartbeat went beside it. */
     boolean loaded;
+
     long busySince;
     long beatSent;
     /** When it last answered, and when what it answered had been sent. */
     long heard;
+
     long ackedSent;
     boolean settled;
     /** Messages sent to it, and the last one it has answered. */
     long sent;
+
     long answered;
     /** What goes to it in parts, or null. */
     Transfer transfer;
@@ -38,6 +45,7 @@
     int snapshots;
     /** Its state is not what the group agreed on, and the index from which on a snapshot would mend that, or -1. */
     boolean differs;
+
     long renewFrom = -1;
     private int room = FIRST_ROOM;
     private int doublings;
@@ -61,7 +69,8 @@
         if (load == 0) {
             return times.call();
         }
-        return part && usual > 0 && doublings == 0 ? Math.max(times.heartbeat(), Math.min(times.call(), usual * PATIENCE))
+        return part && usual > 0 && doublings == 0
+                ? Math.max(times.heartbeat(), Math.min(times.call(), usual * PATIENCE))
                 : times.call() << doublings;
     }
 
--- a/src/main/java/bramblespool/raft/Incoming.java
+++ b/src/main/java/bramblespool/raft/Incoming.java
@@ -5,6 +5,7 @@
     final String id;
     /** Who sends it. */
     String from;
+
     private final StringBuilder data = new StringBuilder();
 
     Incoming(String id, String from) {
--- a/src/main/java/bramblespool/raft/Raft.java
+++ b/src/main/java/bramblespool/raft/Raft.java
@@ -21,12 +21,17 @@
  * A member is its peer address and the incarnation kept on its disk, written {@code address#incarnation}.
  */
 public final class Raft {
-    enum Role { FOLLOWER, CANDIDATE, LEADER }
+    enum Role {
+        FOLLOWER,
+        CANDIDATE,
+        LEADER
+    }
 
     /** The incarnation of a disk that took part in the founding. */
     public static final String FOUNDER = "0";
     /** Entries applied, or how many times the snapshot's size they are, before the log is folded into one at a checkpoint. */
     private static final int FOLD = 128;
+
     private static final int FOLD_RATIO = 2;
 
     final String self;
@@ -47,12 +52,14 @@
     final int copies;
     /** The state here is the group's, as far as is known; and the snapshot on the disk was whole at the start. */
     private boolean fit = true;
+
     private boolean whole = true;
 
     private long term;
     private String vote;
     /** The highest index known to be agreed, and the highest one that the machine has had. */
     long commit;
+
     private long applied;
     Role role = Role.FOLLOWER;
     private String leader;
@@ -67,12 +74,23 @@
     long leadingSince;
     /** Who led before this member did, and when it was last heard. */
     private String before;
+
     private long beforeHeard;
     private final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
 
     /** {@code losses}: how many disks may be lost at one time with nothing agreed lost and a majority left. */
-    public Raft(String self, String control, int founders, int losses, Vault.Saved saved, Clock clock, Wire wire, Vault vault,
-            StateMachine machine, Times times, Log log) {
+    public Raft(
+            String self,
+            String control,
+            int founders,
+            int losses,
+            Vault.Saved saved,
+            Clock clock,
+            Wire wire,
+            Vault vault,
+            StateMachine machine,
+            Times times,
+            Log log) {
         this.self = self;
         this.control = control;
         this.clock = clock;
@@ -149,7 +167,11 @@
         if (!voters().contains(self)) {
             left = true;
         } else if (leader != null && !leader.equals(self)) {
-            wire.call(addressOf(leader), "leave", message(leader).put("id", self), times.call(),
+            wire.call(
+                    addressOf(leader),
+                    "leave",
+                    message(leader).put("id", self),
+                    times.call(),
                     a -> left |= a != null && a.path("ok").asBoolean());
         }
     }
@@ -164,7 +186,7 @@
         configuration.learners().forEach(m.putArray("learners")::add);
         log.say(Event.HANDED_OVER, "term", term, "to", heir);
         stepDown(term, "leaving");
-        wire.call(addressOf(heir), "lead", m, times.call(), a -> { });
+        wire.call(addressOf(heir), "lead", m, times.call(), a -> {});
     }
 
     public boolean leads() {
@@ -260,7 +282,14 @@
 
     /** The first entry of every founding member: the founders, whom all derive alike from their settings. */
     public static Vault.Entry founding(List<String> addresses) {
-        return new Vault.Entry(1, 0, RaftLog.members(Voters.read(addresses.stream().sorted().map(a -> a + "#" + FOUNDER).toList())).toString());
+        return new Vault.Entry(
+                1,
+                0,
+                RaftLog.members(Voters.read(addresses.stream()
+                                .sorted()
+                                .map(a -> a + "#" + FOUNDER)
+                                .toList()))
+                        .toString());
     }
 
     public static String addressOf(String id) {
@@ -279,8 +308,12 @@
         long now = clock.now();
         if (role == Role.LEADER) {
             lead(now);
-        } else if (!leaving && election.due(now) && now - leaderHeard >= times.election() && voters().contains(self)
-                && healthy() && fit) {
+        } else if (!leaving
+                && election.due(now)
+                && now - leaderHeard >= times.election()
+                && voters().contains(self)
+                && healthy()
+                && fit) {
             election.campaign(true);
         }
     }
@@ -375,7 +408,7 @@
         }
         election.postpone();
         if (newer) {
-            persist(0, List.of(), null, () -> { });
+            persist(0, List.of(), null, () -> {});
         }
     }
 
@@ -431,7 +464,8 @@
     private void checkpoint() {
         String data = Seal.seal(machine.snapshot().toString());
         checkpoints.add(applied, Seal.brief(data));
-        if (applied - entries.base() >= FOLD || entries.letters(entries.base() + 1, applied) >= FOLD_RATIO * data.length()) {
+        if (applied - entries.base() >= FOLD
+                || entries.letters(entries.base() + 1, applied) >= FOLD_RATIO * data.length()) {
             fold(data);
         }
     }
@@ -443,7 +477,7 @@
 
     private void fold(String data) {
         entries.fold(applied, data);
-        persist(0, List.of(), entries.snapshot(), () -> { });
+        persist(0, List.of(), entries.snapshot(), () -> {});
         log.say(Event.SNAPSHOT_TAKEN, "index", entries.base());
     }
 
@@ -466,7 +500,11 @@
     }
 
     ObjectNode reply(boolean ok) {
-        return JsonNodeFactory.instance.objectNode().put("term", term).put("ok", ok).put("settled", machine.settled());
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("term", term)
+                .put("ok", ok)
+                .put("settled", machine.settled());
     }
 
     /** Serves one of the group's messages; false where the kind is another's. */
@@ -474,7 +512,13 @@
         switch (kind) {
             case "vote", "append", "part", "heartbeat", "lead", "leave" -> {
                 if (stopped || !self.equals(m.path("to").asText())) {
-                    log.once(Event.MESSAGE_DROPPED, kind + m.path("to").asText(), "kind", kind, "cause", "not for this life");
+                    log.once(
+                            Event.MESSAGE_DROPPED,
+                            kind + m.path("to").asText(),
+                            "kind",
+                            kind,
+                            "cause",
+                            "not for this life");
                     answer.accept(null);
                 } else if (kind.equals("vote")) {
                     if (whole) {
@@ -483,9 +527,14 @@
                         answer.accept(reply(false));
                     }
                 } else if (kind.equals("leave")) {
-                    answer.accept(reply(leads() && configuration.leave(m.path("id").asText())));
+                    answer.accept(
+                            reply(leads() && configuration.leave(m.path("id").asText())));
                 } else if (kind.equals("lead")) {
-                    if (m.path("term").asLong() == term && role == Role.FOLLOWER && voters().contains(self) && healthy() && fit
+                    if (m.path("term").asLong() == term
+                            && role == Role.FOLLOWER
+                            && voters().contains(self)
+                            && healthy()
+                            && fit
                             && !leaving) {
                         m.path("learners").forEach(l -> configuration.join(l.asText()));
                         election.take();
@@ -581,7 +630,7 @@
         joinedAt = clock.now();
         for (String a : addresses) {
             if (!a.equals(addressOf(self))) {
-                wire.call(a, "join", JsonNodeFactory.instance.objectNode().put("id", self), times.call(), x -> { });
+                wire.call(a, "join", JsonNodeFactory.instance.objectNode().put("id", self), times.call(), x -> {});
             }
         }
     }
--- a/src/main/java/bramblespool/raft/RaftLog.java
+++ b/src/main/java/bramblespool/raft/RaftLog.java
@@ -23,6 +23,7 @@
     private final List<Vault.Entry> entries = new ArrayList<>();
     /** The index and the term of the entry right before the first one held. */
     private long before;
+
     private long beforeTerm;
     /** What {@link #voters} found; null after entries have changed. */
     private Voters newestVoters;
@@ -96,7 +97,9 @@
     }
 
     long termAt(long index) {
-        return index == before ? beforeTerm : index < before || index > last() ? -1 : get(index).term();
+        return index == before
+                ? beforeTerm
+                : index < before || index > last() ? -1 : get(index).term();
     }
 
     Vault.Entry get(long index) {
--- a/src/main/java/bramblespool/raft/Reads.java
+++ b/src/main/java/bramblespool/raft/Reads.java
@@ -6,8 +6,7 @@
 
 /** Reads that wait until a majority has confirmed, after each was asked for, that this member still leads (ReadIndex). */
 final class Reads {
-    private record Read(long at, Consumer<Boolean> done) {
-    }
+    private record Read(long at, Consumer<Boolean> done) {}
 
     private final Raft raft;
     private final List<Read> waiting = new ArrayList<>();
--- a/src/main/java/bramblespool/raft/Replication.java
+++ b/src/main/java/bramblespool/raft/Replication.java
@@ -70,9 +70,12 @@
         followers.keySet().removeIf(id -> !to.contains(id));
         long now = raft.clock.now();
         for (String id : to) {
-            Follower f = followers.computeIfAbsent(id, i -> new Follower(i, raft.entries.last() + 1, raft.lastHeard(i, now)));
+            Follower f = followers.computeIfAbsent(
+                    id, i -> new Follower(i, raft.entries.last() + 1, raft.lastHeard(i, now)));
             if (!f.busy) {
-                if (atOnce || f.next <= raft.entries.last() || f.match < f.next - 1
+                if (atOnce
+                        || f.next <= raft.entries.last()
+                        || f.match < f.next - 1
                         || now - f.ackedSent >= raft.times.heartbeat()) {
                     send(f);
                 }
@@ -99,8 +102,12 @@
     }
 
     private ObjectNode addressed(Follower f) {
-        ObjectNode m = raft.message(f.id).put("term", raft.term()).put("control", raft.control).put("n", ++f.sent)
-                .put("answered", f.answered).put("right", raft.rights.granting());
+        ObjectNode m = raft.message(f.id)
+                .put("term", raft.term())
+                .put("control", raft.control)
+                .put("n", ++f.sent)
+                .put("answered", f.answered)
+                .put("right", raft.rights.granting());
         raft.checkpoints.ask(f, m);
         return m;
     }
@@ -108,11 +115,15 @@
     /** What goes to it next: a snapshot where entries are gone or are more than that, or an entry too large for one message. */
     private void choose(Follower f) {
         RaftLog entries = raft.entries;
-        if (f.transfer != null && f.transfer.entry != null
-                && (f.renewFrom >= 0 || f.next != f.transfer.index() || entries.termAt(f.next) != f.transfer.entry.term())) {
+        if (f.transfer != null
+                && f.transfer.entry != null
+                && (f.renewFrom >= 0
+                        || f.next != f.transfer.index()
+                        || entries.termAt(f.next) != f.transfer.entry.term())) {
             f.transfer = null;
         }
-        if (f.transfer != null && f.transfer.snapshot != null
+        if (f.transfer != null
+                && f.transfer.snapshot != null
                 && (!f.transfer.asked || raft.clock.now() - f.heard > raft.times.absent())) {
             f.transfer = null;
         }
@@ -123,8 +134,11 @@
         if (f.renewFrom >= 0 && (entries.base() < f.renewFrom || entries.base() == 0)) {
             raft.fold();
         }
-        if (f.renewFrom >= 0 || f.next <= entries.before()
-                || f.next <= entries.base() && entries.letters(f.next, entries.base()) > entries.snapshot().data().length()) {
+        if (f.renewFrom >= 0
+                || f.next <= entries.before()
+                || f.next <= entries.base()
+                        && entries.letters(f.next, entries.base())
+                                > entries.snapshot().data().length()) {
             f.transfer = new Transfer(entries.snapshot());
         } else if (f.next <= entries.last() && entries.get(f.next).data().length() > f.room()) {
             f.transfer = new Transfer(entries.get(f.next));
@@ -138,7 +152,9 @@
         m.put("prevIndex", prev).put("prevTerm", entries.termAt(prev)).put("commit", raft.commit);
         ArrayNode list = m.putArray("entries");
         int load = 0;
-        while (upTo < entries.last() && upTo - prev < ENTRIES_AT_ONCE && load + entries.get(upTo + 1).data().length() <= room) {
+        while (upTo < entries.last()
+                && upTo - prev < ENTRIES_AT_ONCE
+                && load + entries.get(upTo + 1).data().length() <= room) {
             Vault.Entry e = entries.get(++upTo);
             load += e.data().length();
             list.addObject().put("term", e.term()).put("data", e.data());
@@ -157,13 +173,19 @@
     private void sendPart(Follower f, ObjectNode m, int room) {
         Transfer t = f.transfer;
         String part = t.data.substring(t.offset, Math.min(t.data.length(), t.offset + room));
-        m.put("id", t.id).put("index", t.index()).put("size", t.data.length()).put("offset", t.offset).put("data", part);
+        m.put("id", t.id)
+                .put("index", t.index())
+                .put("size", t.data.length())
+                .put("offset", t.offset)
+                .put("data", part);
         if (t.snapshot != null) {
             m.put("lastTerm", t.snapshot.term());
             ArrayNode v = m.putArray("voters");
             t.snapshot.voters().forEach(v::add);
         } else {
-            m.put("prevIndex", f.next - 1).put("prevTerm", raft.entries.termAt(f.next - 1)).put("entryTerm", t.entry.term())
+            m.put("prevIndex", f.next - 1)
+                    .put("prevTerm", raft.entries.termAt(f.next - 1))
+                    .put("entryTerm", t.entry.term())
                     .put("commit", raft.commit);
         }
         call(f, "part", m, part.length(), a -> {
@@ -206,7 +228,8 @@
                 }
                 then.accept(a);
                 raft.reads.settle();
-                if (raft.role == Raft.Role.LEADER && followers.get(f.id) == f
+                if (raft.role == Raft.Role.LEADER
+                        && followers.get(f.id) == f
                         && (f.again || f.next <= raft.entries.last() || !raft.reads.isEmpty())) {
                     send(f);
                 }
@@ -258,8 +281,15 @@
         List<Progress> out = new ArrayList<>();
         for (Follower f : followers.values()) {
             Transfer t = f.transfer;
-            out.add(new Progress(f.id, f.match, raft.entries.last() - f.match, t == null ? 0 : t.offset,
-                    t == null ? 0 : t.data.length(), f.snapshots, now - f.heard, f.differs || f.renewFrom >= 0));
+            out.add(new Progress(
+                    f.id,
+                    f.match,
+                    raft.entries.last() - f.match,
+                    t == null ? 0 : t.offset,
+                    t == null ? 0 : t.data.length(),
+                    f.snapshots,
+                    now - f.heard,
+                    f.differs || f.renewFrom >= 0));
         }
         return out;
     }
@@ -273,7 +303,9 @@
     /** Whether all that is agreed lies on as many disks as are wanted without that member's. */
     boolean agreedWithout(String id) {
         List<String> others = raft.voters().stream().filter(v -> !v.equals(id)).toList();
-        long there = others.stream().filter(v -> (v.equals(raft.self) ? durable : match(v)) >= raft.commit).count();
+        long there = others.stream()
+                .filter(v -> (v.equals(raft.self) ? durable : match(v)) >= raft.commit)
+                .count();
         return there >= Math.min(raft.copies, others.size());
     }
 
@@ -303,7 +335,8 @@
         List<Vault.Entry> sent = new ArrayList<>();
         long at = m.path("prevIndex").asLong();
         for (JsonNode n : m.path("entries")) {
-            sent.add(new Vault.Entry(++at, n.path("term").asLong(), n.path("data").asText()));
+            sent.add(new Vault.Entry(
+                    ++at, n.path("term").asLong(), n.path("data").asText()));
         }
         append(m, sent, answer);
     }
@@ -311,7 +344,9 @@
     private void append(JsonNode m, List<Vault.Entry> sent, Consumer<ObjectNode> answer) {
         RaftLog entries = raft.entries;
         long prev = m.path("prevIndex").asLong();
-        if (prev > entries.last() || prev >= entries.base() && entries.termAt(prev) != m.path("prevTerm").asLong()) {
+        if (prev > entries.last()
+                || prev >= entries.base()
+                        && entries.termAt(prev) != m.path("prevTerm").asLong()) {
             answer.accept(raft.reply(false).put("hint", Math.min(entries.last(), prev - 1)));
             return;
         }
@@ -355,8 +390,12 @@
         Clock.Timer[] early = new Clock.Timer[1];
         boolean[] over = {false};
         raft.persist(truncate, added, snapshot, () -> {
-            long last = snapshot != null ? snapshot.index() : added.isEmpty() ? 0 : added.get(added.size() - 1).index();
-            long term = snapshot != null ? snapshot.term() : added.isEmpty() ? 0 : added.get(added.size() - 1).term();
+            long last = snapshot != null
+                    ? snapshot.index()
+                    : added.isEmpty() ? 0 : added.get(added.size() - 1).index();
+            long term = snapshot != null
+                    ? snapshot.term()
+                    : added.isEmpty() ? 0 : added.get(added.size() - 1).term();
             // It may have been cut off again, and another be in its place.
             if (last > 0 && (last <= raft.entries.base() || raft.entries.termAt(last) == term)) {
                 durable = Math.max(durable, last);
@@ -396,8 +435,16 @@
             incoming = new Incoming(id, from);
         } else if (!incoming.from.equals(from)) {
             incoming.from = from;
-            raft.log.say(Event.TRANSFER_RESUMED, "index", index, "leader", from, "have", incoming.length(),
-                    "size", m.path("size").asInt());
+            raft.log.say(
+                    Event.TRANSFER_RESUMED,
+                    "index",
+                    index,
+                    "leader",
+                    from,
+                    "have",
+                    incoming.length(),
+                    "size",
+                    m.path("size").asInt());
         }
         incoming.add(m.path("offset").asInt(), m.path("data").asText());
         if (incoming.length() < m.path("size").asInt()) {
@@ -417,7 +464,12 @@
         long index = m.path("index").asLong();
         String state = Seal.open(data);
         if (state == null || index < raft.entries.base()) {
-            raft.log.say(Event.SNAPSHOT_REFUSED, "index", index, "why", state == null ? "digest" : "older than what is here");
+            raft.log.say(
+                    Event.SNAPSHOT_REFUSED,
+                    "index",
+                    index,
+                    "why",
+                    state == null ? "digest" : "older than what is here");
             answer.accept(raft.reply(false));
             return;
         }
--- a/src/main/java/bramblespool/raft/Rights.java
+++ b/src/main/java/bramblespool/raft/Rights.java
@@ -18,18 +18,21 @@
      * a leader's death, and when others count it as lapsed.
      */
     private static final double RIGHT = 2;
+
     private static final double LAPSED = 2.2;
     /**
      * Who voted for a new leader had heard the last one no later than an election's time before, so no majority had. The
      * last leader's own right may stand for the rest of RIGHT; that of those it went on speaking to, for RIGHT more.
      */
     private static final double OLD_LEADER = RIGHT - 1 + LAPSED - RIGHT;
+
     private static final double OLD_FOLLOWER = 2 * RIGHT - 1 + LAPSED - RIGHT;
     private static final int ANSWERS_KEPT = 8;
 
     private final Raft raft;
     /** When this follower took which of its leader's messages, and since when its right counts. */
     private final Map<Long, Long> answers = new HashMap<>();
+
     private long term;
     private String lastLeader;
     private long lastLeaderTerm;
@@ -42,7 +45,8 @@
     /** Whether this member may go on with a duty that it holds for itself alone. */
     boolean held() {
         long now = raft.clock.now();
-        return raft.leads() ? granting()
+        return raft.leads()
+                ? granting()
                 : raft.role == Raft.Role.FOLLOWER && now - since < raft.times.election() * RIGHT;
     }
 
--- a/src/main/java/bramblespool/raft/Seal.java
+++ b/src/main/java/bramblespool/raft/Seal.java
@@ -9,11 +9,11 @@
 final class Seal {
     /** Letters of a SHA-256 digest in hex. */
     private static final int DIGEST = 64;
+
     private static final int SHORT = 16;
     private static final int AT_ONCE = 1 << 15;
 
-    private Seal() {
-    }
+    private Seal() {}
 
     static String seal(String state) {
         return digest(state, 0) + state;
--- a/src/main/java/bramblespool/raft/Transfer.java
+++ b/src/main/java/bramblespool/raft/Transfer.java
@@ -6,12 +6,15 @@
 final class Transfer {
     /** One of the two. */
     final Vault.Snapshot snapshot;
+
     final Vault.Entry entry;
     /** What is the same for the same data, whoever sends it. */
     final String id;
+
     final String data;
     /** How much of it the receiver is known to have; of a snapshot it is asked first, for another leader may have begun it. */
     int offset;
+
     boolean asked;
 
     Transfer(Vault.Snapshot snapshot) {
--- a/src/main/java/bramblespool/role/Courier.java
+++ b/src/main/java/bramblespool/role/Courier.java
@@ -35,9 +35,14 @@
     }
 
     /** A request as it travels: what the client sent, and what the system must say about it. */
-    record Parcel(HttpString method, String target, HeaderMap headers, Stream.Body body, String attempt,
-            String caller, long deadline) {
-    }
+    record Parcel(
+            HttpString method,
+            String target,
+            HeaderMap headers,
+            Stream.Body body,
+            String attempt,
+            String caller,
+            long deadline) {}
 
     /** Answers are held back whole up to this size, so that one broken off can still become another try. */
     static final int BUFFERED = 64 << 10;
@@ -77,7 +82,12 @@
 
     void serve(Gate gate, Parcel p, Config.Route route, int rank, Taker taker) {
         Run run = new Run(gate, p, taker);
-        run.ticket = gate.offer(route.name(), rank, route.goal(), p.deadline, run::go,
+        run.ticket = gate.offer(
+                route.name(),
+                rank,
+                route.goal(),
+                p.deadline,
+                run::go,
                 r -> taker.take(Result.neverRan(r.why(), r.retryMs(), false), null));
         if (run.early) {
             run.send();
@@ -135,7 +145,8 @@
             if (tenant != null) {
                 window = tally.begin(tenant);
             }
-            call = upstream.send(gate.address(), new Upstream.Manner(connectMs, idleMs, BUFFERED), request(parcel, headers), this);
+            call = upstream.send(
+                    gate.address(), new Upstream.Manner(connectMs, idleMs, BUFFERED), request(parcel, headers), this);
         }
 
         private void end(Result r, boolean worked, Ending ending) {
--- a/src/main/java/bramblespool/role/Exchanges.java
+++ b/src/main/java/bramblespool/role/Exchanges.java
@@ -6,9 +6,9 @@
 import bramblespool.transport.Upstream;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.HttpServerExchange;
-import io.undertow.util.Headers;
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HeaderValues;
+import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -19,8 +19,7 @@
 
 /** Answers on Undertow's exchanges. */
 final class Exchanges {
-    private Exchanges() {
-    }
+    private Exchanges() {}
 
     static void say(HttpServerExchange x, int status, String word) {
         if (x.isResponseStarted()) {
@@ -80,13 +79,18 @@
         if (length != null) {
             x.getResponseHeaders().put(Headers.CONTENT_LENGTH, length);
         }
-        Stream.write(a.body(), x.getResponseChannel(), buffers, () -> {
-            ending.ended(true);
-            x.endExchange();
-        }, e -> {
-            ending.ended(false);
-            IoUtils.safeClose(x.getConnection());
-        });
+        Stream.write(
+                a.body(),
+                x.getResponseChannel(),
+                buffers,
+                () -> {
+                    ending.ended(true);
+                    x.endExchange();
+                },
+                e -> {
+                    ending.ended(false);
+                    IoUtils.safeClose(x.getConnection());
+                });
     }
 
     /** An answer as it is kept for repeats; null where it was too large to be held whole. */
@@ -128,7 +132,9 @@
         }
         String one = v.size() == 1 ? v.getFirst().strip() : "";
         int space = one.indexOf(' ');
-        return space > 0 && one.substring(0, space).equalsIgnoreCase("Token") ? one.substring(space + 1).strip() : "";
+        return space > 0 && one.substring(0, space).equalsIgnoreCase("Token")
+                ? one.substring(space + 1).strip()
+                : "";
     }
 
     static long number(HttpServerExchange x, HttpString header) {
@@ -166,13 +172,15 @@
 
     /** Whether an answer, of whatever kind, names this one try and no other. */
     static boolean answers(String attempt, HeaderMap headers) {
-        return headers.count(Names.ATTEMPT) == 1 && headers.getFirst(Names.ATTEMPT).equals(attempt);
+        return headers.count(Names.ATTEMPT) == 1
+                && headers.getFirst(Names.ATTEMPT).equals(attempt);
     }
 
     /** What is wrong with a request's framing or head, or null. */
     static String unsound(HttpServerExchange x) {
         var h = x.getRequestHeaders();
-        if (h.count(Headers.CONTENT_LENGTH) > 1 || h.count(Headers.TRANSFER_ENCODING) > 1
+        if (h.count(Headers.CONTENT_LENGTH) > 1
+                || h.count(Headers.TRANSFER_ENCODING) > 1
                 || h.contains(Headers.CONTENT_LENGTH) && h.contains(Headers.TRANSFER_ENCODING)) {
             return "conflicting lengths";
         }
--- a/src/main/java/bramblespool/role/Helm.java
+++ b/src/main/java/bramblespool/role/Helm.java
@@ -48,7 +48,8 @@
         HttpWire wire = new HttpWire(loop, upstream, ports.buffers(), IDLE_MS / 2, log);
         vault = new SqliteVault(s.dataDir(), loop::post, loop::now, log, Helm::end);
         HttpPlatform platform = s.discovery() == Settings.Discovery.PLATFORM || s.metering() != null
-                ? new HttpPlatform(loop, upstream, s.platform(), s.bounds().drain() / 8) : null;
+                ? new HttpPlatform(loop, upstream, s.platform(), s.bounds().drain() / 8)
+                : null;
         core = new HelmCore(s, vault, Long.toHexString(new SecureRandom().nextLong()), loop, wire, platform, log);
         wire.serve(core);
         var bounds = Ports.bounds(64 << 10, HttpWire.LARGEST, IDLE_MS, IDLE_MS);
@@ -93,8 +94,14 @@
                 held--;
                 next.proceed();
             });
-            x.dispatch(SameThreadExecutor.INSTANCE, () -> Stream.read(x.getRequestChannel(), ports.buffers(),
-                    HttpWire.LARGEST / 4, body -> order(x, path, body), e -> Side.unread(x, e)));
+            x.dispatch(
+                    SameThreadExecutor.INSTANCE,
+                    () -> Stream.read(
+                            x.getRequestChannel(),
+                            ports.buffers(),
+                            HttpWire.LARGEST / 4,
+                            body -> order(x, path, body),
+                            e -> Side.unread(x, e)));
         }
     }
 
--- a/src/main/java/bramblespool/role/Inbound.java
+++ b/src/main/java/bramblespool/role/Inbound.java
@@ -26,11 +26,19 @@
     private final ByteBufferPool buffers;
     /** The one service of this machine's server, or null where there are several: callers name the one they want. */
     private final String target;
+
     private final BiConsumer<String, String> marked;
     private final BooleanSupplier gone;
 
-    Inbound(Clock clock, Shadow shadow, Gates gates, Courier courier, ByteBufferPool buffers, String target,
-            BiConsumer<String, String> marked, BooleanSupplier gone) {
+    Inbound(
+            Clock clock,
+            Shadow shadow,
+            Gates gates,
+            Courier courier,
+            ByteBufferPool buffers,
+            String target,
+            BiConsumer<String, String> marked,
+            BooleanSupplier gone) {
         this.gone = gone;
         this.clock = clock;
         this.shadow = shadow;
@@ -101,11 +109,22 @@
             refuse(x, service, "leaving", 0, false);
             return;
         }
-        Stream.read(x.getRequestChannel(), buffers, Courier.BUFFERED, body -> {
-            Courier.Parcel p = new Courier.Parcel(x.getRequestMethod(), Exchanges.target(x), x.getRequestHeaders(),
-                    body, attempt(x), caller(x), deadline);
-            courier.serve(way.gate, p, way.route, way.rank, (r, ending) -> answer(x, service, r, ending));
-        }, e -> x.endExchange());
+        Stream.read(
+                x.getRequestChannel(),
+                buffers,
+                Courier.BUFFERED,
+                body -> {
+                    Courier.Parcel p = new Courier.Parcel(
+                            x.getRequestMethod(),
+                            Exchanges.target(x),
+                            x.getRequestHeaders(),
+                            body,
+                            attempt(x),
+                            caller(x),
+                            deadline);
+                    courier.serve(way.gate, p, way.route, way.rank, (r, ending) -> answer(x, service, r, ending));
+                },
+                e -> x.endExchange());
     }
 
     /** Whatever is answered names the try that it is an answer to: a refusal of another one must not be believed. */
@@ -125,15 +144,21 @@
         } else if (r.verdict() == Verdict.NEVER_RAN) {
             refuse(x, service, r.why(), r.retryMs(), r.arrived());
         } else {
-            x.getResponseHeaders().put(Names.ATTEMPT, attempt(x)).put(Names.VERDICT, r.verdict().code)
-                    .put(Names.LOAD, gates.load(service)).put(Names.WHY, r.why().replaceAll("[^ -~]", "?"));
+            x.getResponseHeaders()
+                    .put(Names.ATTEMPT, attempt(x))
+                    .put(Names.VERDICT, r.verdict().code)
+                    .put(Names.LOAD, gates.load(service))
+                    .put(Names.WHY, r.why().replaceAll("[^ -~]", "?"));
             Exchanges.say(x, 502, "");
         }
     }
 
     private void refuse(HttpServerExchange x, String service, String why, long retryMs, boolean arrived) {
-        x.getResponseHeaders().put(Names.ATTEMPT, attempt(x)).put(Names.VERDICT, Verdict.NEVER_RAN.code)
-                .put(Names.LOAD, gates.load(service)).put(Names.WHY, arrived ? why + "!" : why);
+        x.getResponseHeaders()
+                .put(Names.ATTEMPT, attempt(x))
+                .put(Names.VERDICT, Verdict.NEVER_RAN.code)
+                .put(Names.LOAD, gates.load(service))
+                .put(Names.WHY, arrived ? why + "!" : why);
         Exchanges.comeBack(x, retryMs, "");
     }
 }
--- a/src/main/java/bramblespool/role/Outbound.java
+++ b/src/main/java/bramblespool/role/Outbound.java
@@ -32,6 +32,7 @@
     private static final int GATES = 4;
     /** Time that must be left for a further try to be worth it. */
     private static final long LEAST_MS = 15;
+
     private static final long RETRY_MS = 60;
     private static final int MOST_KEY = 255;
     /** Statuses by which a client is promised that its request has not run. */
@@ -53,6 +54,7 @@
     private final String node;
     /** The service of this machine's server; empty where clients come from outside. */
     private final String target;
+
     private final Upstream.Manner manner;
     private final Doubts doubts;
     private final Log log;
@@ -66,7 +68,17 @@
         void behind();
     }
 
-    Outbound(Clock clock, WeftCore core, Courier courier, Upstream upstream, ByteBufferPool buffers, String node, String target, Upstream.Manner manner, Doubts doubts, Log log) {
+    Outbound(
+            Clock clock,
+            WeftCore core,
+            Courier courier,
+            Upstream upstream,
+            ByteBufferPool buffers,
+            String node,
+            String target,
+            Upstream.Manner manner,
+            Doubts doubts,
+            Log log) {
         this.clock = clock;
         this.shadow = core.shadow;
         this.fleet = core.fleet;
@@ -156,8 +168,8 @@
                 return;
             }
         }
-        long patience = route.deadline() > 0 && left > 0 ? Math.min(route.deadline(), left)
-                : Math.max(route.deadline(), left);
+        long patience =
+                route.deadline() > 0 && left > 0 ? Math.min(route.deadline(), left) : Math.max(route.deadline(), left);
         if (patience <= 0) {
             patience = manner.connectMs() * 10;
         }
@@ -179,7 +191,8 @@
         }
         String key = keys.getFirst();
         return key.isEmpty() || key.length() > MOST_KEY || !key.chars().allMatch(c -> c > ' ' && c < 127)
-                ? Names.OPERATION + " must be 1 to " + MOST_KEY + " printable letters without spaces" : null;
+                ? Names.OPERATION + " must be 1 to " + MOST_KEY + " printable letters without spaces"
+                : null;
     }
 
     private String pick(Config.Route route) {
@@ -217,7 +230,13 @@
         /** What its key stands for, where it has one and the claim was won. */
         private Operations.Operation operation;
 
-        Passage(HttpServerExchange x, Config config, Config.Route route, Config.Tenant tenant, String service, long deadline) {
+        Passage(
+                HttpServerExchange x,
+                Config config,
+                Config.Route route,
+                Config.Tenant tenant,
+                String service,
+                long deadline) {
             this.x = x;
             this.config = config;
             this.route = route;
@@ -227,11 +246,18 @@
         }
 
         void begin(Stream.Body body) {
-            parcel = new Courier.Parcel(x.getRequestMethod(), Exchanges.target(x), x.getRequestHeaders(), body,
-                    x.getRequestHeaders().getFirst(Names.ATTEMPT), target, deadline);
+            parcel = new Courier.Parcel(
+                    x.getRequestMethod(),
+                    Exchanges.target(x),
+                    x.getRequestHeaders(),
+                    body,
+                    x.getRequestHeaders().getFirst(Names.ATTEMPT),
+                    target,
+                    deadline);
             end = clock.after(Math.max(1, deadline - clock.now()), this::tooLate);
             long left = deadline - clock.now();
-            entry.enter(who(body), Math.max(1, Math.min(route.goal() > 0 ? route.goal() : left, left) / ADMIT_PART), this);
+            entry.enter(
+                    who(body), Math.max(1, Math.min(route.goal() > 0 ? route.goal() : left, left) / ADMIT_PART), this);
         }
 
         private Entry.Who who(Stream.Body body) {
@@ -242,10 +268,16 @@
             }
             // Without a tenant a key is one among those of the service that calls.
             String holder = tenant == null ? "~" + target : name;
-            return new Entry.Who(holder, limited, config.epoch,
+            return new Entry.Who(
+                    holder,
+                    limited,
+                    config.epoch,
                     admission.register(holder, x.getRequestHeaders().getFirst(Names.OPERATION)),
-                    admission.print(x.getRequestMethod().toString(), x.getRequestHeaders().getFirst(Headers.HOST),
-                            Exchanges.target(x), body.head()));
+                    admission.print(
+                            x.getRequestMethod().toString(),
+                            x.getRequestHeaders().getFirst(Headers.HOST),
+                            Exchanges.target(x),
+                            body.head()));
         }
 
         @Override
@@ -336,7 +368,9 @@
             if (r.arrived()) {
                 arrivals++;
             }
-            if (r.verdict() == Verdict.ANSWERED && !route.idempotent() && PROMISES.contains(r.answer().code())) {
+            if (r.verdict() == Verdict.ANSWERED
+                    && !route.idempotent()
+                    && PROMISES.contains(r.answer().code())) {
                 // The server did not say that it has not run, and passed on its status would.
                 if (ending != null) {
                     ending.ended(false);
@@ -357,8 +391,18 @@
             if ("mark".equals(r.why()) || "route".equals(r.why())) {
                 doubts.behind();
             }
-            log.say(Event.FAILED_CALL, "route", route.name(), "to", send.door.at.node, "verdict", r.verdict(), "why", r.why());
-            boolean again = parcel.body().whole() && (r.verdict() == Verdict.NEVER_RAN || route.idempotent())
+            log.say(
+                    Event.FAILED_CALL,
+                    "route",
+                    route.name(),
+                    "to",
+                    send.door.at.node,
+                    "verdict",
+                    r.verdict(),
+                    "why",
+                    r.why());
+            boolean again = parcel.body().whole()
+                    && (r.verdict() == Verdict.NEVER_RAN || route.idempotent())
                     && deadline - clock.now() > LEAST_MS
                     && (!r.arrived() || arrivals < route.maxTries() && budget.draw(service, clock.now()));
             if (again) {
@@ -393,7 +437,8 @@
 
             void start() {
                 if (door.at.node.equals(node)) {
-                    Inbound.Way way = Inbound.Way.of(shadow, gates, mark, x.getRequestHeaders(), Exchanges.path(x), service);
+                    Inbound.Way way =
+                            Inbound.Way.of(shadow, gates, mark, x.getRequestHeaders(), Exchanges.path(x), service);
                     if (way.gate() == null) {
                         finish(Courier.Result.neverRan(way.why(), 0, false), null);
                         return;
@@ -434,8 +479,12 @@
 
             /** Whether a request that may be running at a silent peer is better sent to another as well. */
             private boolean mayRepeat() {
-                return route.idempotent() && parcel.body().whole() && arrivals + 1 < route.maxTries()
-                        && shown.size() < GATES && budget.holds(service, clock.now()) && deadline - clock.now() > LEAST_MS;
+                return route.idempotent()
+                        && parcel.body().whole()
+                        && arrivals + 1 < route.maxTries()
+                        && shown.size() < GATES
+                        && budget.holds(service, clock.now())
+                        && deadline - clock.now() > LEAST_MS;
             }
 
             private void finish(Courier.Result r, Courier.Ending ending) {
@@ -476,7 +525,8 @@
                 }
                 Verdict v = Verdict.of(a.headers().getFirst(Names.VERDICT));
                 if (v == Verdict.ANSWERED) {
-                    finish(new Courier.Result(v, a, null, 0, true),
+                    finish(
+                            new Courier.Result(v, a, null, 0, true),
                             a.body().whole() ? null : whole -> call.finished(whole));
                     return;
                 }
@@ -487,8 +537,10 @@
                 why = why == null ? "unexplained" : why;
                 boolean arrived = why.endsWith("!");
                 if (v == Verdict.NEVER_RAN) {
-                    finish(Courier.Result.neverRan(arrived ? why.substring(0, why.length() - 1) : why, retryAfter(a),
-                            arrived), null);
+                    finish(
+                            Courier.Result.neverRan(
+                                    arrived ? why.substring(0, why.length() - 1) : why, retryAfter(a), arrived),
+                            null);
                 } else {
                     finish(Courier.Result.mayHaveRun(why), null);
                 }
@@ -507,8 +559,11 @@
             public void failed(Upstream.Reach reach, String cause) {
                 fleet.suspect(door.at);
                 upstream.forget(door.at.inbound);
-                finish(reach == Upstream.Reach.UNSENT ? Courier.Result.neverRan(cause, 0, false)
-                        : Courier.Result.mayHaveRun(cause), null);
+                finish(
+                        reach == Upstream.Reach.UNSENT
+                                ? Courier.Result.neverRan(cause, 0, false)
+                                : Courier.Result.mayHaveRun(cause),
+                        null);
             }
         }
     }
--- a/src/main/java/bramblespool/role/Resting.java
+++ b/src/main/java/bramblespool/role/Resting.java
@@ -12,8 +12,7 @@
  * the connections there are; one that falls only for rests that begin under it, for a client may still count on the last.
  */
 public final class Resting<C extends Channel> {
-    private record Rest(long since, long bound) {
-    }
+    private record Rest(long since, long bound) {}
 
     private final Clock clock;
     private final Map<C, Rest> resting = new LinkedHashMap<>();
--- a/src/main/java/bramblespool/role/Side.java
+++ b/src/main/java/bramblespool/role/Side.java
@@ -24,6 +24,7 @@
     private static final String READY = "/bramblespool/readiness";
     /** Between daemons connections are kept so long that traffic comes back to most of them. */
     private static final int PEER_IDLE_MS = 60_000;
+
     private static final long CLIENT_HEADER = 1 << 20;
     /** A connection that never brings a request is closed after so many times what one may rest between two. */
     private static final int SILENT = 8;
@@ -53,8 +54,16 @@
         core = new WeftCore(s, loop, wire, log);
         wire.serve(core);
         Courier courier = new Courier(loop, upstream, core.tally, connectMs, b.quiet());
-        outbound = new Outbound(loop, core, courier, upstream, ports.buffers(), s.node(), target == null ? "" : target,
-                new Upstream.Manner(connectMs, PEER_IDLE_MS / 2, Courier.BUFFERED), new Outbound.Doubts() {
+        outbound = new Outbound(
+                loop,
+                core,
+                courier,
+                upstream,
+                ports.buffers(),
+                s.node(),
+                target == null ? "" : target,
+                new Upstream.Manner(connectMs, PEER_IDLE_MS / 2, Courier.BUFFERED),
+                new Outbound.Doubts() {
                     @Override
                     public void silent(Fleet.Peer p) {
                         core.ask(p);
@@ -64,9 +73,10 @@
                     public void behind() {
                         core.behind();
                     }
-                }, log);
-        Inbound inbound = new Inbound(loop, core.shadow, core.gates, courier, ports.buffers(), target, core::marked,
-                core::gone);
+                },
+                log);
+        Inbound inbound =
+                new Inbound(loop, core.shadow, core.gates, courier, ports.buffers(), target, core::marked, core::gone);
         ports.listen(s.peer(), wire, peerBounds());
         ports.listen(s.inbound(), inbound, Ports.bounds(CLIENT_HEADER, -1, PEER_IDLE_MS, PEER_IDLE_MS));
         ports.listen(s.ready(), this::readiness, peerBounds());
@@ -86,8 +96,8 @@
     }
 
     private OptionMap clientBounds() {
-        return Ports.bounds(limits.headerBytes(), limits.bodyBytes(), (int) limits.headerRead(),
-                (int) Math.min(Integer.MAX_VALUE, limits.idle() * SILENT));
+        return Ports.bounds(limits.headerBytes(), limits.bodyBytes(), (int) limits.headerRead(), (int)
+                Math.min(Integer.MAX_VALUE, limits.idle() * SILENT));
     }
 
     /**
@@ -113,7 +123,8 @@
 
     /** Ends an exchange whose body broke off or was over its connection's bound: nothing was taken. */
     static void unread(HttpServerExchange x, IOException e) {
-        x.setStatusCode(e instanceof RequestTooBigException ? StatusCodes.REQUEST_ENTITY_TOO_LARGE : StatusCodes.BAD_REQUEST);
+        x.setStatusCode(
+                e instanceof RequestTooBigException ? StatusCodes.REQUEST_ENTITY_TOO_LARGE : StatusCodes.BAD_REQUEST);
         x.endExchange();
     }
 
@@ -138,8 +149,7 @@
     }
 
     /** Called now and then with the version in force. */
-    void configured(Config c) {
-    }
+    void configured(Config c) {}
 
     private void readiness(HttpServerExchange x) {
         if (!x.getRequestURI().equals(READY)) {
--- a/src/main/java/bramblespool/role/Weft.java
+++ b/src/main/java/bramblespool/role/Weft.java
@@ -51,7 +51,9 @@
         long patience = settings.bounds().quiet() / 6;
         Upstream.Call[] call = new Upstream.Call[1];
         var timer = loop.after(patience, () -> call[0].drop());
-        call[0] = upstream.send(settings.appAddr(), new Upstream.Manner(patience, patience, BEAT_BYTES),
+        call[0] = upstream.send(
+                settings.appAddr(),
+                new Upstream.Manner(patience, patience, BEAT_BYTES),
                 new Upstream.Request(Methods.GET, service.probePath(), headers, Stream.Body.EMPTY),
                 new Upstream.Receiver() {
                     @Override
@@ -59,7 +61,9 @@
                         timer.cancel();
                         String id = a.headers().getFirst(Names.INSTANCE_ID);
                         if (a.code() == 200 && id != null) {
-                            core.gate.probed(id, core.fleet.capacityOf(settings.target(), FIRST_SLOTS),
+                            core.gate.probed(
+                                    id,
+                                    core.fleet.capacityOf(settings.target(), FIRST_SLOTS),
                                     Math.max(0, Exchanges.number(a.headers().getFirst(Names.WARMUP))));
                         }
                     }
@@ -83,8 +87,14 @@
             core.gate.leave(leave);
             Exchanges.json(x, 200, "{}");
         } else {
-            x.dispatch(SameThreadExecutor.INSTANCE, () -> Stream.read(x.getRequestChannel(), ports.buffers(),
-                    BEAT_BYTES, body -> beat(x, beat, body), e -> Side.unread(x, e)));
+            x.dispatch(
+                    SameThreadExecutor.INSTANCE,
+                    () -> Stream.read(
+                            x.getRequestChannel(),
+                            ports.buffers(),
+                            BEAT_BYTES,
+                            body -> beat(x, beat, body),
+                            e -> Side.unread(x, e)));
         }
     }
 
@@ -102,6 +112,9 @@
         if (no != null) {
             log.once(Event.BEAT_REFUSED, no, "server", id, "why", no);
         }
-        Exchanges.json(x, no == null ? 200 : 400, no == null ? "{}" : "{\"error\":" + new com.google.gson.JsonPrimitive(no) + "}");
+        Exchanges.json(
+                x,
+                no == null ? 200 : 400,
+                no == null ? "{}" : "{\"error\":" + new com.google.gson.JsonPrimitive(no) + "}");
     }
 }
--- a/src/main/java/bramblespool/state/Config.java
+++ b/src/main/java/bramblespool/state/Config.java
@@ -27,15 +27,27 @@
 public final class Config {
     public static final int RANKS = 16;
 
-    public record Share(String target, double share) {
-    }
+    public record Share(String target, double share) {}
 
     /** Which requests may run more than once: any number of times, at most once a try, or at most once for each key. */
-    public enum RouteClass { IDEMPOTENT, MUTATING, KEYED }
+    public enum RouteClass {
+        IDEMPOTENT,
+        MUTATING,
+        KEYED
+    }
 
     /** {@code open}: whether it may be used without a tenant's key. */
-    public record Route(String name, String authority, String prefix, RouteClass kind, long deadline, long goal,
-            int rank, List<Share> shares, int maxTries, boolean open) {
+    public record Route(
+            String name,
+            String authority,
+            String prefix,
+            RouteClass kind,
+            long deadline,
+            long goal,
+            int rank,
+            List<Share> shares,
+            int maxTries,
+            boolean open) {
         public boolean idempotent() {
             return kind == RouteClass.IDEMPOTENT;
         }
@@ -55,12 +67,10 @@
     }
 
     /** {@code dedups}: whether it keeps its own record of operation keys. */
-    public record Service(String name, String probePath, int maxConns, long warmup, double warmPerS, boolean dedups) {
-    }
+    public record Service(String name, String probePath, int maxConns, long warmup, double warmPerS, boolean dedups) {}
 
     /** Who calls. {@code rank} is -1 where the route's holds; a {@code ratePerS} of 0 is no limit. */
-    public record Tenant(String name, int rank, double ratePerS, double burst) {
-    }
+    public record Tenant(String name, int rank, double ratePerS, double burst) {}
 
     public record Limits(long headerBytes, long bodyBytes, long headerRead, long idle) {
         public static final Limits UNSET = new Limits(16384, 64L << 20, 5000, 15000);
@@ -88,20 +98,27 @@
     public final String stamp;
     /** The document as it was sent, packed. */
     public final String packed;
+
     public final Map<String, Service> services;
     public final Limits limits;
     public final int routeCount;
     private final Map<String, Places> byHost;
     /** The tenants by their keys, or null where no keys are asked for. */
     private final Map<String, Tenant> byKey;
+
     private final Map<String, Tenant> tenants;
 
     /** The routes of one host by their prefixes. */
-    private record Places(Map<String, Route> routes, int longest) {
-    }
-
-    private Config(long epoch, String packed, Map<String, Service> services, Limits limits,
-            Map<String, List<Route>> hosts, Map<String, Tenant> byKey, Map<String, Tenant> tenants) {
+    private record Places(Map<String, Route> routes, int longest) {}
+
+    private Config(
+            long epoch,
+            String packed,
+            Map<String, Service> services,
+            Limits limits,
+            Map<String, List<Route>> hosts,
+            Map<String, Tenant> byKey,
+            Map<String, Tenant> tenants) {
         this.byKey = byKey;
         this.tenants = tenants;
         this.epoch = epoch;
@@ -187,7 +204,10 @@
     /** Parses a whole document as it came; it must be UTF-8. */
     public static JsonObject tree(byte[] document) throws Invalid {
         try {
-            return tree(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(document)).toString());
+            return tree(StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(document))
+                    .toString());
         } catch (CharacterCodingException e) {
             throw new Invalid(List.of("cannot be read whole as UTF-8"));
         }
@@ -225,8 +245,12 @@
         long epoch = f.whole("epoch", null);
         Map<String, Service> services = new LinkedHashMap<>();
         for (Fields row : rows(tree, SERVICES, faults)) {
-            Service s = new Service(row.text("name"), row.text("probePath", "/"),
-                    (int) row.whole("maxConns", 0L), row.time("warmup", "0ms"), row.number("warmPerS", 0.0),
+            Service s = new Service(
+                    row.text("name"),
+                    row.text("probePath", "/"),
+                    (int) row.whole("maxConns", 0L),
+                    row.time("warmup", "0ms"),
+                    row.number("warmPerS", 0.0),
                     row.flag("selfDedup", false));
             if (s.name != null && services.put(s.name, s) != null) {
                 row.fault("name", "stands twice: " + s.name);
@@ -244,14 +268,18 @@
                 if (!places.add(hostKey(r.authority) + " " + r.prefix)) {
                     row.fault("pathPrefix", "same place as another route: " + r.authority + r.prefix);
                 }
-                hosts.computeIfAbsent(hostKey(r.authority), k -> new ArrayList<>()).add(r);
+                hosts.computeIfAbsent(hostKey(r.authority), k -> new ArrayList<>())
+                        .add(r);
             }
         }
         Limits limits = Limits.UNSET;
         if (f.has("limits")) {
             Fields l = f.section("limits");
-            limits = new Limits(l.whole("headerBytes", Limits.UNSET.headerBytes),
-                    l.whole("bodyBytes", Limits.UNSET.bodyBytes), l.time("headerRead", "5s"), l.time("idle", "15s"));
+            limits = new Limits(
+                    l.whole("headerBytes", Limits.UNSET.headerBytes),
+                    l.whole("bodyBytes", Limits.UNSET.bodyBytes),
+                    l.time("headerRead", "5s"),
+                    l.time("idle", "15s"));
         }
         Map<String, Tenant> tenants = new LinkedHashMap<>();
         Map<String, Tenant> byKey = f.has(TENANTS) ? keys(rows(tree, TENANTS, faults), tenants) : null;
@@ -325,8 +353,16 @@
             }
         }
         int rank = (int) Math.max(0, Math.min(RANKS - 1, row.whole("rank", 0L)));
-        return new Route(name, row.text("authority"), prefix, routeClass, row.time("deadline", "0ms"),
-                row.time("goal", "0ms"), rank, shares, (int) Math.max(1, row.whole("maxTries", 1L)),
+        return new Route(
+                name,
+                row.text("authority"),
+                prefix,
+                routeClass,
+                row.time("deadline", "0ms"),
+                row.time("goal", "0ms"),
+                rank,
+                shares,
+                (int) Math.max(1, row.whole("maxTries", 1L)),
                 row.flag("public", false));
     }
 
@@ -342,8 +378,11 @@
     private static List<JsonObject> items(JsonObject tree, String table, List<String> faults) {
         List<JsonObject> out = new ArrayList<>();
         JsonElement t = tree.get(table);
-        if (t == null || !t.isJsonObject() || !t.getAsJsonObject().has("columns")
-                || !t.getAsJsonObject().get("columns").isJsonArray() || !t.getAsJsonObject().has("rows")
+        if (t == null
+                || !t.isJsonObject()
+                || !t.getAsJsonObject().has("columns")
+                || !t.getAsJsonObject().get("columns").isJsonArray()
+                || !t.getAsJsonObject().has("rows")
                 || !t.getAsJsonObject().get("rows").isJsonArray()) {
             faults.add(table + ": must hold columns and rows");
             return out;
@@ -411,7 +450,9 @@
         Set<String> tables = new LinkedHashSet<>(upsert.keySet());
         tables.addAll(remove.keySet());
         for (String table : tables) {
-            if (!whole.has(table) || !whole.get(table).isJsonObject() || !whole.getAsJsonObject(table).has("rows")) {
+            if (!whole.has(table)
+                    || !whole.get(table).isJsonObject()
+                    || !whole.getAsJsonObject(table).has("rows")) {
                 faults.add(table + ": no such list");
                 continue;
             }
--- a/src/main/java/bramblespool/state/Fields.java
+++ b/src/main/java/bramblespool/state/Fields.java
@@ -201,7 +201,9 @@
     public Map<String, String> table(String field) {
         Map<String, String> out = new LinkedHashMap<>();
         if (has(field) && tree.get(field).isJsonObject()) {
-            tree.getAsJsonObject(field).entrySet().forEach(e -> out.put(e.getKey(), e.getValue().getAsString()));
+            tree.getAsJsonObject(field)
+                    .entrySet()
+                    .forEach(e -> out.put(e.getKey(), e.getValue().getAsString()));
         }
         return out;
     }
--- a/src/main/java/bramblespool/state/Folder.java
+++ b/src/main/java/bramblespool/state/Folder.java
@@ -36,7 +36,8 @@
 
     /** Makes an empty file if there is none. */
     void make(String name) throws IOException {
-        FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE).close();
+        FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE)
+                .close();
     }
 
     void move(String from, String to) throws IOException {
