--- a/src/main/java/bramblespool/state/Ledger.java
+++ b/src/main/java/bramblespool/state/Ledger.java
@@ -15,9 +15,15 @@
      * many letters of each tell it from the others.
      */
     private static final int TAKEN_KEPT = 4096;
+
     private static final int TAKEN_LETTERS = 32;
 
-    public enum Phase { NONE, DECIDED, SWAPPED, MARKED }
+    public enum Phase {
+        NONE,
+        DECIDED,
+        SWAPPED,
+        MARKED
+    }
 
     /** {@code packed}: the document as it was sent, or null where there is none yet. */
     public record Version(long epoch, String packed, String digest) {
@@ -40,12 +46,10 @@
     private long votersSince;
 
     /** The index orders a zone's changes. */
-    public record Evacuation(boolean on, long index) {
-    }
+    public record Evacuation(boolean on, long index) {}
 
     /** Who holds a duty; the fence, the index of the entry that gave it, only ever rises. {@code first}: nobody held it before. */
-    public record Duty(String holder, long fence, boolean first) {
-    }
+    public record Duty(String holder, long fence, boolean first) {}
 
     /** The agreed voters, or the change under way from some to others. */
     public Voters group() {
@@ -100,7 +104,10 @@
         switch (e.path("k").asText()) {
             case "candidate" -> {
                 if (candidate == null) {
-                    candidate = new Version(e.path("epoch").asLong(), e.path("doc").asText(), e.path("digest").asText());
+                    candidate = new Version(
+                            e.path("epoch").asLong(),
+                            e.path("doc").asText(),
+                            e.path("digest").asText());
                     candidateBase = e.path("base").asLong();
                 }
             }
@@ -122,10 +129,17 @@
                 group.all().forEach(v -> voters.put(v, before.getOrDefault(v, index)));
                 votersSince = index;
             }
-            case "evac" -> evacuations.put(e.path("zone").asText(), new Evacuation(e.path("on").asBoolean(), index));
-            case "duty" -> duties.put(e.path("key").asText(), new Duty(e.path("holder").asText(), index,
-                    !duties.containsKey(e.path("key").asText())));
-            default -> { }
+            case "evac" ->
+                evacuations.put(
+                        e.path("zone").asText(), new Evacuation(e.path("on").asBoolean(), index));
+            case "duty" ->
+                duties.put(
+                        e.path("key").asText(),
+                        new Duty(
+                                e.path("holder").asText(),
+                                index,
+                                !duties.containsKey(e.path("key").asText())));
+            default -> {}
         }
     }
 
@@ -167,7 +181,10 @@
         n.put("votersSince", votersSince);
         group.written().forEach(n.putArray("group")::add);
         ObjectNode d = n.putObject("duties");
-        duties.forEach((key, duty) -> d.putObject(key).put("holder", duty.holder).put("fence", duty.fence).put("first", duty.first));
+        duties.forEach((key, duty) -> d.putObject(key)
+                .put("holder", duty.holder)
+                .put("fence", duty.fence)
+                .put("first", duty.first));
         return n;
     }
 
@@ -178,18 +195,32 @@
         candidateBase = n.path("base").asLong();
         phase = Phase.valueOf(n.path("phase").asText());
         taken.clear();
-        n.path("taken").fields().forEachRemaining(f -> taken.put(brief(f.getKey()), f.getValue().asLong()));
+        n.path("taken")
+                .fields()
+                .forEachRemaining(f -> taken.put(brief(f.getKey()), f.getValue().asLong()));
         evacuations.clear();
-        n.path("evac").fields().forEachRemaining(f -> evacuations.put(f.getKey(),
-                new Evacuation(f.getValue().path("on").asBoolean(), f.getValue().path("index").asLong())));
+        n.path("evac")
+                .fields()
+                .forEachRemaining(f -> evacuations.put(
+                        f.getKey(),
+                        new Evacuation(
+                                f.getValue().path("on").asBoolean(),
+                                f.getValue().path("index").asLong())));
         voters.clear();
-        n.path("voters").fields().forEachRemaining(f -> voters.put(f.getKey(), f.getValue().asLong()));
+        n.path("voters")
+                .fields()
+                .forEachRemaining(f -> voters.put(f.getKey(), f.getValue().asLong()));
         votersSince = n.path("votersSince").asLong();
         group = n.has("group") ? written(n.path("group")) : Voters.read(voters.keySet());
         duties.clear();
-        n.path("duties").fields().forEachRemaining(f -> duties.put(f.getKey(),
-                new Duty(f.getValue().path("holder").asText(), f.getValue().path("fence").asLong(),
-                        f.getValue().path("first").asBoolean())));
+        n.path("duties")
+                .fields()
+                .forEachRemaining(f -> duties.put(
+                        f.getKey(),
+                        new Duty(
+                                f.getValue().path("holder").asText(),
+                                f.getValue().path("fence").asLong(),
+                                f.getValue().path("first").asBoolean())));
     }
 
     private static void put(ObjectNode n, Version v) {
@@ -197,7 +228,9 @@
     }
 
     private static Version version(JsonNode n) {
-        return new Version(n.path("epoch").asLong(), n.path("doc").isTextual() ? n.path("doc").asText() : null,
+        return new Version(
+                n.path("epoch").asLong(),
+                n.path("doc").isTextual() ? n.path("doc").asText() : null,
                 n.path("digest").asText());
     }
 }
--- a/src/main/java/bramblespool/state/Packed.java
+++ b/src/main/java/bramblespool/state/Packed.java
@@ -13,8 +13,7 @@
     /** Larger documents are refused when they are sent; nothing that unpacks to more is one of ours. */
     private static final int LARGEST = 32 << 20;
 
-    private Packed() {
-    }
+    private Packed() {}
 
     public static String pack(String document) {
         Deflater d = new Deflater(Deflater.BEST_SPEED);
--- a/src/main/java/bramblespool/state/SqliteStore.java
+++ b/src/main/java/bramblespool/state/SqliteStore.java
@@ -35,11 +35,13 @@
     static final String ASIDE = DATABASE + ".aside-";
     /** A database that is being founded: of no worth until it has its name. */
     private static final String FOUNDING = "helm.new";
+
     private static final String WAL = "-wal";
     /** What SQLite may put beside a database. */
     private static final List<String> BESIDE = List.of(WAL, "-journal", "-shm");
     /** "brsp", SQLite's mark of whose a database is. */
     static final int APPLICATION = 0x62727370;
+
     static final int FORMAT = 1;
     /** Lost databases that are kept: disks are small. */
     static final int ASIDES = 2;
@@ -52,6 +54,7 @@
             // Rows are only ever added at the end, and removed from the beginning: few pages to each write.
             "register", "seq INTEGER PRIMARY KEY, id TEXT, promised TEXT, accepted TEXT, value TEXT",
             "snapshot", "id INTEGER PRIMARY KEY CHECK(id=1), idx INTEGER, term INTEGER, voters TEXT, data TEXT");
+
     private static final Gson GSON = new Gson();
 
     /** What is on the disk cannot be the whole of what was written. */
@@ -67,6 +70,7 @@
     private final Log log;
     /** Null while the disk is empty. */
     Connection db;
+
     Saved saved;
     List<Kept> kept = List.of();
     /** The newest number in {@code register}. */
@@ -86,10 +90,11 @@
             return false;
         }
         // A read that ends early, with no error of the disk's, says that the file is too short.
-        return s.getResultCode() == SQLiteErrorCode.SQLITE_IOERR_SHORT_READ || switch (s.getResultCode().code & 0xff) {
-            case 11 /* CORRUPT */, 24 /* FORMAT */, 26 /* NOTADB */ -> true;
-            default -> false;
-        };
+        return s.getResultCode() == SQLiteErrorCode.SQLITE_IOERR_SHORT_READ
+                || switch (s.getResultCode().code & 0xff) {
+                    case 11 /* CORRUPT */, 24 /* FORMAT */, 26 /* NOTADB */ -> true;
+                    default -> false;
+                };
     }
 
     /** Whether this disk has held a database that was lost. */
@@ -166,7 +171,8 @@
                     tables.add(r.getString(1));
                 }
             }
-            boolean unmarked = application == 0 && format == 0 && TABLES.keySet().containsAll(tables);
+            boolean unmarked =
+                    application == 0 && format == 0 && TABLES.keySet().containsAll(tables);
             if (!unmarked && application != APPLICATION) {
                 throw new Lost("the database of another application");
             }
@@ -222,7 +228,8 @@
         try {
             for (String table : TABLES.keySet()) {
                 s.execute("ALTER TABLE " + table + " ADD COLUMN sum INTEGER");
-                s.execute("UPDATE " + table + " SET sum=summed(" + TABLES.get(table).replaceAll("(\\w+)[^,]*", "$1") + ")");
+                s.execute("UPDATE " + table + " SET sum=summed("
+                        + TABLES.get(table).replaceAll("(\\w+)[^,]*", "$1") + ")");
             }
             mark(s);
             s.execute("COMMIT");
@@ -271,11 +278,14 @@
         try (Statement s = db.createStatement()) {
             saved = readSaved(s);
             kept = new ArrayList<>();
-            try (ResultSet r = s.executeQuery("SELECT seq, id, promised, accepted, value, sum FROM register ORDER BY seq")) {
+            try (ResultSet r =
+                    s.executeQuery("SELECT seq, id, promised, accepted, value, sum FROM register ORDER BY seq")) {
                 while (r.next()) {
                     newest = r.getLong(1);
                     Kept k = new Kept(r.getString(2), r.getString(3), r.getString(4), r.getString(5));
-                    expect(r.getLong(6) == sum(newest, k.id(), k.promised(), k.accepted(), k.value()), "a torn register");
+                    expect(
+                            r.getLong(6) == sum(newest, k.id(), k.promised(), k.accepted(), k.value()),
+                            "a torn register");
                     kept.add(k);
                 }
             }
@@ -298,9 +308,14 @@
         Snapshot snapshot = null;
         try (ResultSet r = s.executeQuery("SELECT idx, term, voters, data, sum FROM snapshot")) {
             if (r.next()) {
-                expect(r.getLong(5) == sum(1, r.getLong(1), r.getLong(2), r.getString(3), r.getString(4)), "a torn snapshot");
-                snapshot = new Snapshot(r.getLong(1), r.getLong(2),
-                        Arrays.asList(GSON.fromJson(r.getString(3), String[].class)), r.getString(4));
+                expect(
+                        r.getLong(5) == sum(1, r.getLong(1), r.getLong(2), r.getString(3), r.getString(4)),
+                        "a torn snapshot");
+                snapshot = new Snapshot(
+                        r.getLong(1),
+                        r.getLong(2),
+                        Arrays.asList(GSON.fromJson(r.getString(3), String[].class)),
+                        r.getString(4));
             }
         } catch (JsonParseException e) {
             throw new Lost("a torn snapshot");
@@ -341,7 +356,8 @@
             return;
         }
         clear();
-        try (Connection c = connect(FOUNDING); Statement s = c.createStatement()) {
+        try (Connection c = connect(FOUNDING);
+                Statement s = c.createStatement()) {
             s.execute("PRAGMA synchronous=OFF");
             s.execute("PRAGMA journal_mode=MEMORY");
             s.execute("BEGIN");
@@ -379,7 +395,9 @@
      * database is a lost disk: so each of the two removals must last before what follows.
      */
     private void clear() throws IOException {
-        remove(BESIDE.stream().flatMap(b -> Stream.of(FOUNDING + b, DATABASE + b)).toList());
+        remove(BESIDE.stream()
+                .flatMap(b -> Stream.of(FOUNDING + b, DATABASE + b))
+                .toList());
         remove(List.of(FOUNDING, DATABASE));
     }
 
--- a/src/main/java/bramblespool/state/SqliteVault.java
+++ b/src/main/java/bramblespool/state/SqliteVault.java
@@ -22,8 +22,7 @@
     private static final long LAST_WRITE_MS = 200;
 
     /** A change of the log, or words on registers, or the removal of words up to one. */
-    private record Job(Change change, List<Kept> words, long first, long fadeTo, Runnable durable) {
-    }
+    private record Job(Change change, List<Kept> words, long first, long fadeTo, Runnable durable) {}
 
     final SqliteStore store;
     private final java.util.concurrent.Executor loop;
@@ -41,20 +40,25 @@
     private String incarnation;
     /** The number of the last word handed to the disk, and what it was at the last calls of {@code fade}. */
     private long written;
+
     private final ArrayDeque<Long> marks = new ArrayDeque<>();
     private static final Gson GSON = new Gson();
 
     public SqliteVault(String dir, java.util.concurrent.Executor loop, LongSupplier now, Log log) {
-        this(dir, loop, now, log, () -> { });
+        this(dir, loop, now, log, () -> {});
     }
 
     /** {@code broken}: called on the loop once the database was found damaged, and is out of use for good. */
     public SqliteVault(String dir, java.util.concurrent.Executor loop, LongSupplier now, Log log, Runnable broken) {
-        this(new Folder(Path.of(dir)), loop, now, log, broken,
-                () -> LockSupport.parkNanos(RETRY_MS * 1_000_000));
+        this(new Folder(Path.of(dir)), loop, now, log, broken, () -> LockSupport.parkNanos(RETRY_MS * 1_000_000));
     }
 
-    SqliteVault(Folder folder, java.util.concurrent.Executor loop, LongSupplier now, Log log, Runnable broken,
+    SqliteVault(
+            Folder folder,
+            java.util.concurrent.Executor loop,
+            LongSupplier now,
+            Log log,
+            Runnable broken,
             Runnable pause) {
         this.loop = loop;
         this.now = now;
@@ -78,7 +82,7 @@
 
     /** A disk that cannot be read or written now is not a lost one: a start waits for it. */
     private <T> T patiently(Attempt<T> attempt) {
-        for (boolean told = false;; told = true) {
+        for (boolean told = false; ; told = true) {
             try {
                 T made = attempt.make();
                 if (told) {
@@ -158,7 +162,7 @@
     public void fade(int parts) {
         marks.add(written);
         if (marks.size() > parts) {
-            add(new Job(null, List.of(), 0, marks.poll(), () -> { }));
+            add(new Job(null, List.of(), 0, marks.poll(), () -> {}));
         }
     }
 
@@ -265,7 +269,8 @@
             fillLog(batch);
         }
         if (batch.stream().anyMatch(j -> !j.words.isEmpty())) {
-            try (PreparedStatement word = store.db.prepareStatement("INSERT OR REPLACE INTO register VALUES(?,?,?,?,?,?)")) {
+            try (PreparedStatement word =
+                    store.db.prepareStatement("INSERT OR REPLACE INTO register VALUES(?,?,?,?,?,?)")) {
                 for (Job j : batch) {
                     long seq = j.first;
                     for (Kept k : j.words) {
@@ -282,7 +287,8 @@
         }
         for (Job j : batch) {
             if (j.fadeTo > 0) {
-                try (PreparedStatement fade = store.db.prepareStatement("DELETE FROM register WHERE seq<=? AND id<>''")) {
+                try (PreparedStatement fade =
+                        store.db.prepareStatement("DELETE FROM register WHERE seq<=? AND id<>''")) {
                     fade.setLong(1, j.fadeTo);
                     fade.executeUpdate();
                 }
@@ -295,7 +301,8 @@
                 PreparedStatement cut = store.db.prepareStatement("DELETE FROM log WHERE idx>=?");
                 PreparedStatement drop = store.db.prepareStatement("DELETE FROM log WHERE idx<=?");
                 PreparedStatement add = store.db.prepareStatement("INSERT OR REPLACE INTO log VALUES(?,?,?,?)");
-                PreparedStatement snap = store.db.prepareStatement("INSERT OR REPLACE INTO snapshot VALUES(1,?,?,?,?,?)")) {
+                PreparedStatement snap =
+                        store.db.prepareStatement("INSERT OR REPLACE INTO snapshot VALUES(1,?,?,?,?,?)")) {
             for (Job j : batch) {
                 Change c = j.change;
                 if (c == null) {
@@ -316,7 +323,14 @@
                     String voters = GSON.toJson(c.snapshot().voters());
                     snap.setString(3, voters);
                     snap.setString(4, c.snapshot().data());
-                    snap.setLong(5, SqliteStore.sum(1, c.snapshot().index(), c.snapshot().term(), voters, c.snapshot().data()));
+                    snap.setLong(
+                            5,
+                            SqliteStore.sum(
+                                    1,
+                                    c.snapshot().index(),
+                                    c.snapshot().term(),
+                                    voters,
+                                    c.snapshot().data()));
                     snap.executeUpdate();
                     drop.setLong(1, c.snapshot().index());
                     drop.executeUpdate();
--- a/src/main/java/bramblespool/state/Vault.java
+++ b/src/main/java/bramblespool/state/Vault.java
@@ -1,30 +1,24 @@
 package bramblespool.state;
 
 import java.util.List;
-import java.util.function.Consumer;
 
 /** The durable store of a helm. Changes take effect in order; one that fails is tried again until it holds. */
 public interface Vault {
-    record Entry(long index, long term, String data) {
-    }
+    record Entry(long index, long term, String data) {}
 
-    record Snapshot(long index, long term, List<String> voters, String data) {
-    }
+    record Snapshot(long index, long term, List<String> voters, String data) {}
 
     /** {@code commit}: up to where entries were known to be agreed when something was last written. */
-    record Saved(String incarnation, long term, String vote, long commit, Snapshot snapshot, List<Entry> entries) {
-    }
+    record Saved(String incarnation, long term, String vote, long commit, Snapshot snapshot, List<Entry> entries) {}
 
     /** Vote and term, removal of entries from an index on (0: none), entries to add, a snapshot that replaces what it covers. */
-    record Change(long term, String vote, long commit, long truncateFrom, List<Entry> append, Snapshot snapshot) {
-    }
+    record Change(long term, String vote, long commit, long truncateFrom, List<Entry> append, Snapshot snapshot) {}
 
     /**
      * An acceptor's word on one register: the ballot it has promised, and what it has accepted under which; ballots in
      * their written form, null where there is none. A row without an id is the store's own mark.
      */
-    record Kept(String id, String promised, String accepted, String value) {
-    }
+    record Kept(String id, String promised, String accepted, String value) {}
 
     /** What the disk held when it was opened or founded, null where it is empty; to be asked before the first change. */
     Saved load();
--- a/src/main/java/bramblespool/transport/HttpPlatform.java
+++ b/src/main/java/bramblespool/transport/HttpPlatform.java
@@ -40,7 +40,9 @@
         headers.put(FENCE, fence);
         headers.put(Headers.CONTENT_TYPE, "application/json");
         headers.put(Headers.CONTENT_LENGTH, body.length);
-        send(new Upstream.Request(Methods.POST, "/usage", headers, new Stream.Body(body, null)), withinMs,
+        send(
+                new Upstream.Request(Methods.POST, "/usage", headers, new Stream.Body(body, null)),
+                withinMs,
                 p -> code.accept(p.body() == null ? 0 : p.code()));
     }
 
@@ -56,22 +58,27 @@
             call[0].drop();
             answer.accept(new Page(0, null));
         });
-        call[0] = upstream.send(address, new Upstream.Manner(Math.min(patienceMs, withinMs), patienceMs * 2, LARGEST), request, new Upstream.Receiver() {
-            @Override
-            public void answer(Upstream.Answer a) {
-                timer.cancel();
-                if (!a.body().whole()) {
-                    call[0].finished(false);
-                }
-                answer.accept(new Page(a.code(), a.body().whole() ? a.body().head() : null));
-            }
+        call[0] = upstream.send(
+                address,
+                new Upstream.Manner(Math.min(patienceMs, withinMs), patienceMs * 2, LARGEST),
+                request,
+                new Upstream.Receiver() {
+                    @Override
+                    public void answer(Upstream.Answer a) {
+                        timer.cancel();
+                        if (!a.body().whole()) {
+                            call[0].finished(false);
+                        }
+                        answer.accept(
+                                new Page(a.code(), a.body().whole() ? a.body().head() : null));
+                    }
 
-            @Override
-            public void failed(Upstream.Reach reach, String cause) {
-                timer.cancel();
-                answer.accept(new Page(0, null));
-            }
-        });
+                    @Override
+                    public void failed(Upstream.Reach reach, String cause) {
+                        timer.cancel();
+                        answer.accept(new Page(0, null));
+                    }
+                });
     }
 
     private static String word(String s) {
--- a/src/main/java/bramblespool/transport/HttpWire.java
+++ b/src/main/java/bramblespool/transport/HttpWire.java
@@ -21,6 +21,7 @@
     private static final String PATH = "/peer/";
     /** Names the call, and the answer the call that it is to. */
     private static final HttpString CALL = new HttpString("X-Spool-Call");
+
     private static final ObjectMapper JSON = new ObjectMapper();
     /** A configuration travels whole in a message; larger ones than this are refused when the operator sends them. */
     public static final int LARGEST = 16 << 20;
@@ -78,16 +79,22 @@
             upstream.forget(address);
             once.accept(null);
         });
-        call[0] = upstream.send(address, new Upstream.Manner(timeoutMs, idleMs, LARGEST),
+        call[0] = upstream.send(
+                address,
+                new Upstream.Manner(timeoutMs, idleMs, LARGEST),
                 new Upstream.Request(Methods.POST, PATH + kind, headers, new Stream.Body(bytes, null)),
                 new Upstream.Receiver() {
                     @Override
                     public void answer(Upstream.Answer a) {
-                        boolean own = a.headers().count(CALL) == 1 && name.equals(a.headers().getFirst(CALL));
+                        boolean own = a.headers().count(CALL) == 1
+                                && name.equals(a.headers().getFirst(CALL));
                         if (!own || !a.body().whole()) {
                             call[0].spoil();
                         }
-                        once.accept(own && a.code() == 200 && a.body().whole() ? parse(a.body().head(), kind) : null);
+                        once.accept(
+                                own && a.code() == 200 && a.body().whole()
+                                        ? parse(a.body().head(), kind)
+                                        : null);
                     }
 
                     @Override
@@ -122,19 +129,26 @@
         if (name != null) {
             x.getResponseHeaders().put(CALL, name);
         }
-        x.dispatch(SameThreadExecutor.INSTANCE, () -> Stream.read(x.getRequestChannel(), buffers, LARGEST, body -> {
-            JsonNode node = body.whole() ? parse(body.head(), kind) : null;
-            if (node == null) {
-                answer(x, null);
-                return;
-            }
-            try {
-                service.serve(kind, node, out -> answer(x, out));
-            } catch (RuntimeException e) {
-                log.unexpected(e);
-                answer(x, null);
-            }
-        }, e -> x.endExchange()));
+        x.dispatch(
+                SameThreadExecutor.INSTANCE,
+                () -> Stream.read(
+                        x.getRequestChannel(),
+                        buffers,
+                        LARGEST,
+                        body -> {
+                            JsonNode node = body.whole() ? parse(body.head(), kind) : null;
+                            if (node == null) {
+                                answer(x, null);
+                                return;
+                            }
+                            try {
+                                service.serve(kind, node, out -> answer(x, out));
+                            } catch (RuntimeException e) {
+                                log.unexpected(e);
+                                answer(x, null);
+                            }
+                        },
+                        e -> x.endExchange()));
     }
 
     private static void answer(HttpServerExchange x, ObjectNode out) {
--- a/src/main/java/bramblespool/transport/LibraryLog.java
+++ b/src/main/java/bramblespool/transport/LibraryLog.java
@@ -25,14 +25,19 @@
         }
 
         @Override
-        protected void doLog(Level level, String loggerClassName, Object message, Object[] parameters, Throwable thrown) {
+        protected void doLog(
+                Level level, String loggerClassName, Object message, Object[] parameters, Throwable thrown) {
             say(level, String.valueOf(message), thrown);
         }
 
         @Override
-        protected void doLogf(Level level, String loggerClassName, String format, Object[] parameters, Throwable thrown) {
+        protected void doLogf(
+                Level level, String loggerClassName, String format, Object[] parameters, Throwable thrown) {
             if (isEnabled(level)) {
-                say(level, parameters == null || parameters.length == 0 ? format : String.format(format, parameters), thrown);
+                say(
+                        level,
+                        parameters == null || parameters.length == 0 ? format : String.format(format, parameters),
+                        thrown);
             }
         }
 
@@ -49,8 +54,7 @@
     }
 
     @Override
-    public void clearMdc() {
-    }
+    public void clearMdc() {}
 
     @Override
     public Object putMdc(String key, Object value) {
@@ -63,8 +67,7 @@
     }
 
     @Override
-    public void removeMdc(String key) {
-    }
+    public void removeMdc(String key) {}
 
     @Override
     public Map<String, Object> getMdcMap() {
@@ -72,8 +75,7 @@
     }
 
     @Override
-    public void clearNdc() {
-    }
+    public void clearNdc() {}
 
     @Override
     public String getNdc() {
@@ -96,10 +98,8 @@
     }
 
     @Override
-    public void pushNdc(String message) {
-    }
+    public void pushNdc(String message) {}
 
     @Override
-    public void setNdcMaxDepth(int maxDepth) {
-    }
+    public void setNdcMaxDepth(int maxDepth) {}
 }
--- a/src/main/java/bramblespool/transport/Loop.java
+++ b/src/main/java/bramblespool/transport/Loop.java
@@ -17,7 +17,8 @@
     private static final long STACK_BYTES = 512 << 10;
 
     static {
-        // Nobody reads the libraries' management beans here, and the platform's server for them costs a fifth of a start.
+        // Nobody reads the libraries' management beans here, and the platform's server for them costs a fifth of a
+        // start.
         // Whoever wants them sets these properties; what is set stands.
         unlessSet("javax.management.builder.initial", NoBeans.class.getName());
         unlessSet("jboss.threads.eqe.disable-mbean", "true");
@@ -44,10 +45,14 @@
 
     public Loop(Log log) throws IOException {
         this.log = log;
-        worker = Xnio.getInstance(Loop.class.getClassLoader()).createWorker(OptionMap.builder()
-                .set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1).set(Options.STACK_SIZE, STACK_BYTES)
-                .set(Options.THREAD_DAEMON, false).getMap());
+        worker = Xnio.getInstance(Loop.class.getClassLoader())
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.STACK_SIZE, STACK_BYTES)
+                        .set(Options.THREAD_DAEMON, false)
+                        .getMap());
         thread = worker.getIoThread(0);
     }
 
@@ -78,7 +83,7 @@
     public Timer after(long ms, Runnable task) {
         if (ms <= 0) {
             thread.execute(() -> guarded(task));
-            return () -> { };
+            return () -> {};
         }
         XnioExecutor.Key key = thread.executeAfter(() -> guarded(task), ms, TimeUnit.MILLISECONDS);
         return key::remove;
--- a/src/main/java/bramblespool/transport/Ports.java
+++ b/src/main/java/bramblespool/transport/Ports.java
@@ -21,6 +21,7 @@
 public final class Ports {
     /** Buffers fit most heads and bodies here whole; the pool keeps few, for memory at its peak is what is paid for. */
     private static final int BUFFER_BYTES = 8192;
+
     private static final int BUFFERS_KEPT = 64;
     private static final int BACKLOG = 512;
 
@@ -39,13 +40,16 @@
     }
 
     public static OptionMap bounds(long maxHeader, long maxBody, int headerReadMs, int idleMs) {
-        return OptionMap.builder().set(UndertowOptions.DECODE_URL, false)
+        return OptionMap.builder()
+                .set(UndertowOptions.DECODE_URL, false)
                 .set(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
-                .set(UndertowOptions.ALWAYS_SET_DATE, false).set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
+                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                 .set(UndertowOptions.MAX_HEADER_SIZE, (int) Math.min(maxHeader, 1 << 20))
                 .set(UndertowOptions.MAX_ENTITY_SIZE, maxBody)
                 .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, headerReadMs)
-                .set(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs).set(UndertowOptions.RECORD_REQUEST_START_TIME, false)
+                .set(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
+                .set(UndertowOptions.RECORD_REQUEST_START_TIME, false)
                 .getMap();
     }
 
@@ -54,10 +58,15 @@
         http.setRootHandler(handler);
         InetSocketAddress at = socket(address);
         try {
-            AcceptingChannel<StreamConnection> channel = loop.worker().createStreamConnectionServer(at,
-                    ChannelListeners.openListenerAdapter(http),
-                    OptionMap.builder().set(Options.REUSE_ADDRESSES, true).set(Options.TCP_NODELAY, true)
-                            .set(Options.BACKLOG, BACKLOG).getMap());
+            AcceptingChannel<StreamConnection> channel = loop.worker()
+                    .createStreamConnectionServer(
+                            at,
+                            ChannelListeners.openListenerAdapter(http),
+                            OptionMap.builder()
+                                    .set(Options.REUSE_ADDRESSES, true)
+                                    .set(Options.TCP_NODELAY, true)
+                                    .set(Options.BACKLOG, BACKLOG)
+                                    .getMap());
             channel.resumeAccepts();
             open.add(channel);
         } catch (IOException e) {
--- a/src/main/java/bramblespool/transport/Stream.java
+++ b/src/main/java/bramblespool/transport/Stream.java
@@ -21,11 +21,14 @@
         }
     }
 
-    private Stream() {
-    }
+    private Stream() {}
 
     /** Reads until the end or until the limit is passed. */
-    public static void read(StreamSourceChannel channel, ByteBufferPool pool, int limit, Consumer<Body> done,
+    public static void read(
+            StreamSourceChannel channel,
+            ByteBufferPool pool,
+            int limit,
+            Consumer<Body> done,
             Consumer<IOException> failed) {
         new Reader(channel, pool, limit, done, failed).handleEvent(channel);
     }
@@ -39,7 +42,11 @@
         private int size;
         private boolean waiting;
 
-        Reader(StreamSourceChannel channel, ByteBufferPool pool, int limit, Consumer<Body> done,
+        Reader(
+                StreamSourceChannel channel,
+                ByteBufferPool pool,
+                int limit,
+                Consumer<Body> done,
                 Consumer<IOException> failed) {
             this.pool = pool;
             this.limit = limit;
@@ -96,8 +103,8 @@
     }
 
     /** Writes the beginning, then the rest as it comes, then ends the channel. What it returns stops it without a word. */
-    public static Runnable write(Body body, StreamSinkChannel sink, ByteBufferPool pool, Runnable done,
-            Consumer<IOException> failed) {
+    public static Runnable write(
+            Body body, StreamSinkChannel sink, ByteBufferPool pool, Runnable done, Consumer<IOException> failed) {
         Writer w = new Writer(body, sink, pool, done, failed);
         w.run();
         return w::stop;
--- a/src/main/java/bramblespool/transport/Upstream.java
+++ b/src/main/java/bramblespool/transport/Upstream.java
@@ -31,12 +31,10 @@
         SENT
     }
 
-    public record Request(HttpString method, String target, HeaderMap headers, Stream.Body body) {
-    }
+    public record Request(HttpString method, String target, HeaderMap headers, Stream.Body body) {}
 
     /** An answer's head with its body, or the beginning of the body. */
-    public record Answer(int code, HeaderMap headers, Stream.Body body) {
-    }
+    public record Answer(int code, HeaderMap headers, Stream.Body body) {}
 
     public interface Receiver {
         void answer(Answer answer);
@@ -45,8 +43,7 @@
     }
 
     /** How a destination is to be treated. */
-    public record Manner(long connectMs, long idleMs, int buffered) {
-    }
+    public record Manner(long connectMs, long idleMs, int buffered) {}
 
     private static final class Idle {
         final ClientConnection connection;
@@ -81,7 +78,8 @@
         private boolean reusable;
         /** The request has been written to its end. */
         private boolean written;
-        private Runnable writer = () -> { };
+
+        private Runnable writer = () -> {};
         private StreamSinkChannel sink;
         private Clock.Timer patience;
 
@@ -117,30 +115,39 @@
                 return;
             }
             patience = loop.after(manner.connectMs, () -> fail(Reach.UNSENT, "connect timed out"));
-            client.connect(new ClientCallback<>() {
-                @Override
-                public void completed(ClientConnection c) {
-                    if (over) {
-                        IoUtils.safeClose(c);
-                        return;
-                    }
-                    patience.cancel();
-                    send(c);
-                }
+            client.connect(
+                    new ClientCallback<>() {
+                        @Override
+                        public void completed(ClientConnection c) {
+                            if (over) {
+                                IoUtils.safeClose(c);
+                                return;
+                            }
+                            patience.cancel();
+                            send(c);
+                        }
 
-                @Override
-                public void failed(IOException e) {
-                    if (!over) {
-                        patience.cancel();
-                        fail(Reach.UNSENT, "connect failed");
-                    }
-                }
-            }, null, URI.create("http://" + address), loop.thread(), null, buffers, options);
+                        @Override
+                        public void failed(IOException e) {
+                            if (!over) {
+                                patience.cancel();
+                                fail(Reach.UNSENT, "connect failed");
+                            }
+                        }
+                    },
+                    null,
+                    URI.create("http://" + address),
+                    loop.thread(),
+                    null,
+                    buffers,
+                    options);
         }
 
         private void send(ClientConnection c) {
             connection = c;
-            ClientRequest r = new ClientRequest().setMethod(request.method).setPath(request.target)
+            ClientRequest r = new ClientRequest()
+                    .setMethod(request.method)
+                    .setPath(request.target)
                     .setProtocol(Protocols.HTTP_1_1);
             HeaderMap to = r.getRequestHeaders();
             for (long at = request.headers.fastIterateNonEmpty(); at != -1; at = request.headers.fiNextNonEmpty(at)) {
@@ -173,7 +180,11 @@
             });
             if (request.body.head().length > 0 || !request.body.whole()) {
                 sink = x.getRequestChannel();
-                writer = Stream.write(request.body, sink, buffers, () -> written = true,
+                writer = Stream.write(
+                        request.body,
+                        sink,
+                        buffers,
+                        () -> written = true,
                         e -> fail(Reach.SENT, "body not sent: " + e.getMessage()));
             } else {
                 written = true;
@@ -194,21 +205,30 @@
             }
             String connectionWords = headers.getFirst(Headers.CONNECTION);
             // An answer to a part of a request: the rest of it, still to come, would stand before the next request.
-            reusable = written && (connectionWords == null || !connectionWords.toLowerCase(java.util.Locale.ROOT).contains("close"));
-            Stream.read(x.getResponseChannel(), buffers, manner.buffered, body -> {
-                if (over) {
-                    return;
-                }
-                boolean whole = body.whole();
-                over = whole;
-                try {
-                    receiver.answer(new Answer(code, headers, body));
-                } finally {
-                    if (whole) {
-                        release(reusable);
-                    }
-                }
-            }, e -> fail(Reach.SENT, "answer broken off: " + e.getMessage()));
+            reusable = written
+                    && (connectionWords == null
+                            || !connectionWords
+                                    .toLowerCase(java.util.Locale.ROOT)
+                                    .contains("close"));
+            Stream.read(
+                    x.getResponseChannel(),
+                    buffers,
+                    manner.buffered,
+                    body -> {
+                        if (over) {
+                            return;
+                        }
+                        boolean whole = body.whole();
+                        over = whole;
+                        try {
+                            receiver.answer(new Answer(code, headers, body));
+                        } finally {
+                            if (whole) {
+                                release(reusable);
+                            }
+                        }
+                    },
+                    e -> fail(Reach.SENT, "answer broken off: " + e.getMessage()));
         }
 
         /** Whether the answer says, in one way only, where it ends. */
@@ -218,7 +238,8 @@
             if (lengths + codings != 1) {
                 return bodiless && lengths + codings == 0;
             }
-            return lengths == 1 ? headers.getFirst(Headers.CONTENT_LENGTH).chars().allMatch(c -> c >= '0' && c <= '9')
+            return lengths == 1
+                    ? headers.getFirst(Headers.CONTENT_LENGTH).chars().allMatch(c -> c >= '0' && c <= '9')
                     : headers.getFirst(Headers.TRANSFER_ENCODING).equalsIgnoreCase("chunked");
         }
 
@@ -298,7 +319,7 @@
 
     private void sweep() {
         long now = loop.now();
-        for (Iterator<ArrayDeque<Idle>> all = idle.values().iterator(); all.hasNext();) {
+        for (Iterator<ArrayDeque<Idle>> all = idle.values().iterator(); all.hasNext(); ) {
             ArrayDeque<Idle> q = all.next();
             q.removeIf(i -> {
                 boolean stale = i.until <= now || !i.connection.isOpen();
--- a/src/test/java/bramblespool/Capacity.java
+++ b/src/test/java/bramblespool/Capacity.java
@@ -25,8 +25,7 @@
     /** What is measured, in the order of the sizes. */
     private static final Map<String, List<Double>> FIGURES = new TreeMap<>();
 
-    private Capacity() {
-    }
+    private Capacity() {}
 
     public static void main(String[] args) {
         List<Integer> sizes = new ArrayList<>();
@@ -40,11 +39,13 @@
         measure(sizes.get(0));
         FIGURES.clear();
         sizes.forEach(Capacity::measure);
-        System.out.println("| figure | " + String.join(" | ", sizes.stream().map(Object::toString).toList())
+        System.out.println("| figure | "
+                + String.join(" | ", sizes.stream().map(Object::toString).toList())
                 + " | at 0 | for each daemon more | scatter of the fit |");
         System.out.println("| --- |" + " --- |".repeat(sizes.size() + 3));
         FIGURES.forEach((name, values) -> System.out.println("| " + name + " | "
-                + String.join(" | ", values.stream().map(Capacity::text).toList()) + " | " + fit(sizes, values) + " |"));
+                + String.join(" | ", values.stream().map(Capacity::text).toList()) + " | " + fit(sizes, values)
+                + " |"));
     }
 
     private static String text(double v) {
@@ -115,7 +116,9 @@
         long at = w.now();
         cpu = cpu();
         messages = w.messages;
-        long idle = (long) (FIGURES.get("idle: messages a daemon and second").get(FIGURES.get("idle: messages a daemon and second").size() - 1) * daemons);
+        long idle = (long) (FIGURES.get("idle: messages a daemon and second")
+                        .get(FIGURES.get("idle: messages a daemon and second").size() - 1)
+                * daemons);
         order(mesh, mesh.large(6, 5, 561), sides);
         note("a change: until every side has it, ms", w.now() - at);
         w.run(2000);
@@ -142,8 +145,15 @@
             for (int i = 0; i < n; i++) {
                 WeftCore side = mesh.wefts.get(SimMesh.weftPeer(i % sides));
                 String tenant = "t" + i % 97;
-                side.admission.ask(tenant, new Config.Tenant(tenant, -1, 1e6, 1e6), 1, keyed ? side.admission.register(tenant, "k" + i) : null,
-                        keyed ? "10.0.0.1:7000 life " + i : null, null, 300, a -> gone[0] += a.verdict() == Admission.Verdict.GO ? 1 : 0);
+                side.admission.ask(
+                        tenant,
+                        new Config.Tenant(tenant, -1, 1e6, 1e6),
+                        1,
+                        keyed ? side.admission.register(tenant, "k" + i) : null,
+                        keyed ? "10.0.0.1:7000 life " + i : null,
+                        null,
+                        300,
+                        a -> gone[0] += a.verdict() == Admission.Verdict.GO ? 1 : 0);
                 w.run(1);
             }
             w.run(500);
@@ -151,10 +161,14 @@
             String what = keyed ? "a claim with a token" : "a token";
             note(what + ": let through of " + n, gone[0]);
             note(what + ": messages", (w.messages - messages - idle * took) / n);
-            note(what + ": processor of all, micros", ((cpu() - cpu) / 1000.0
-                    - last("idle: processor of a daemon, micros a second") * daemons * took) / n);
+            note(
+                    what + ": processor of all, micros",
+                    ((cpu() - cpu) / 1000.0 - last("idle: processor of a daemon, micros a second") * daemons * took)
+                            / n);
         }
-        note("registers held by a voter", mesh.helms.values().iterator().next().registers.held());
+        note(
+                "registers held by a voter",
+                mesh.helms.values().iterator().next().registers.held());
 
         // A tenth of the sides dies, and comes back.
         messages = w.messages;
@@ -168,9 +182,13 @@
             mesh.startWeft(SimMesh.weftPeer(i * 10));
         }
         w.run(9000);
-        note("a restart: messages of all, for each that came back", (w.messages - messages - idle * 10.0) / (sides / 10.0));
-        note("a restart: processor of all, ms for each", ((cpu() - cpu) / 1e6
-                - last("idle: processor of a daemon, micros a second") * daemons * 10 / 1000) / (sides / 10.0));
+        note(
+                "a restart: messages of all, for each that came back",
+                (w.messages - messages - idle * 10.0) / (sides / 10.0));
+        note(
+                "a restart: processor of all, ms for each",
+                ((cpu() - cpu) / 1e6 - last("idle: processor of a daemon, micros a second") * daemons * 10 / 1000)
+                        / (sides / 10.0));
     }
 
     private static double last(String name) {
@@ -180,8 +198,12 @@
 
     private static Map<String, long[]> snapshot(SimMesh mesh) {
         Map<String, long[]> out = new HashMap<>();
-        mesh.helms.keySet().forEach(p -> out.put(p, new long[] {mesh.world.machine(p).handled, mesh.world.machine(p).sentBytes}));
-        mesh.wefts.keySet().forEach(p -> out.put(p, new long[] {mesh.world.machine(p).handled, mesh.world.machine(p).sentBytes}));
+        mesh.helms
+                .keySet()
+                .forEach(p -> out.put(p, new long[] {mesh.world.machine(p).handled, mesh.world.machine(p).sentBytes}));
+        mesh.wefts
+                .keySet()
+                .forEach(p -> out.put(p, new long[] {mesh.world.machine(p).handled, mesh.world.machine(p).sentBytes}));
         return out;
     }
 
@@ -201,7 +223,9 @@
         note(when + ": bytes sent by a side a second", side[1] / sides);
         note(when + ": messages and answers handled by a cell a second", helm[0] / (HELMS - 1));
         note(when + ": bytes sent by a cell a second", helm[1] / (HELMS - 1));
-        note(when + ": messages and answers handled by the leader a second", (after.get(leader)[0] - before.get(leader)[0]) / s);
+        note(
+                when + ": messages and answers handled by the leader a second",
+                (after.get(leader)[0] - before.get(leader)[0]) / s);
         note(when + ": bytes sent by the leader a second", (after.get(leader)[1] - before.get(leader)[1]) / s);
     }
 
--- a/src/test/java/bramblespool/CatchUpTest.java
+++ b/src/test/java/bramblespool/CatchUpTest.java
@@ -35,12 +35,19 @@
 class CatchUpTest {
     /** What else goes on while the member catches up. */
     private enum With {
-        NOTHING, ALL_LINKS_SLOW, SLOW_DISK, CHANGES, CHANGES_AND_ALL_SLOW, LOSSES, THIRD_LOST, LEADER_LOST, RESTARTED
+        NOTHING,
+        ALL_LINKS_SLOW,
+        SLOW_DISK,
+        CHANGES,
+        CHANGES_AND_ALL_SLOW,
+        LOSSES,
+        THIRD_LOST,
+        LEADER_LOST,
+        RESTARTED
     }
 
     /** {@code caughtUpMs} -1: not within the time; {@code terms}: elections won since; {@code leaderlessMs}: without a leader. */
-    private record Result(long caughtUpMs, long terms, long leaderlessMs, long kilobytes, int mostSnapshots) {
-    }
+    private record Result(long caughtUpMs, long terms, long leaderlessMs, long kilobytes, int mostSnapshots) {}
 
     private static final int ROUTES = 1280;
     private static final long GIVEN_UP_MS = 60_000;
@@ -63,7 +70,8 @@
         order(routes);
         mesh.world.run(1000);
         leader = Raft.addressOf(mesh.leader().raft.leaderId());
-        List<String> others = mesh.helms.keySet().stream().filter(h -> !h.equals(leader)).toList();
+        List<String> others =
+                mesh.helms.keySet().stream().filter(h -> !h.equals(leader)).toList();
         back = others.get(0);
         third = others.get(1);
     }
@@ -124,7 +132,9 @@
             }
             HelmCore b = mesh.helms.get(back);
             boolean faultOver = t > (with == With.RESTARTED ? 700 : with == With.LEADER_LOST ? 400 : 0);
-            if (b != null && faultOver && b.ledger().current().epoch() >= l.ledger().current().epoch()) {
+            if (b != null
+                    && faultOver
+                    && b.ledger().current().epoch() >= l.ledger().current().epoch()) {
                 return new Result(t + 10, terms, leaderless, (mesh.world.bytes - bytes) / 1024, snapshots);
             }
         }
@@ -165,7 +175,7 @@
                     mesh.startHelm(back, false);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -173,7 +183,8 @@
     public static void main(String[] args) {
         for (int missed : args.length > 0 ? new int[] {Integer.parseInt(args[0])} : new int[] {100, 120, 300, 600}) {
             for (int routes : args.length > 1 ? new int[] {Integer.parseInt(args[1])} : new int[] {10, ROUTES}) {
-                for (double mbit : args.length > 2 ? new double[] {Double.parseDouble(args[2])} : new double[] {120, 2}) {
+                for (double mbit :
+                        args.length > 2 ? new double[] {Double.parseDouble(args[2])} : new double[] {120, 2}) {
                     for (With with : With.values()) {
                         System.out.println(missed + " changes of " + routes + ", " + mbit + " Mbit/s, " + with + ": "
                                 + new CatchUpTest().catchUp(1, missed, routes, mbit, with) + " "
@@ -195,7 +206,8 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"300, 1280, 2, ALL_LINKS_SLOW", "300, 1280, 2, CHANGES", "600, 10, 2, SLOW_DISK", "600, 10, 120, LOSSES"})
+    @CsvSource({"300, 1280, 2, ALL_LINKS_SLOW", "300, 1280, 2, CHANGES", "600, 10, 2, SLOW_DISK", "600, 10, 120, LOSSES"
+    })
     void hundredsOfChangesAreCaughtUp(int missed, int routes, double mbit, With with) {
         Result r = catchUp(3, missed, routes, mbit, with);
         assertTrue(r.caughtUpMs >= 0 && r.caughtUpMs <= 5000, r.toString());
@@ -204,7 +216,9 @@
 
     /** Each message of a heartbeat's length takes many of them: who sends is near all the same, and nobody asks to lead. */
     @ParameterizedTest
-    @EnumSource(value = With.class, names = {"NOTHING", "ALL_LINKS_SLOW", "THIRD_LOST"})
+    @EnumSource(
+            value = With.class,
+            names = {"NOTHING", "ALL_LINKS_SLOW", "THIRD_LOST"})
     void anEighthOfThatLinkCostsNobodyTheLead(With with) {
         Result r = catchUp(1, 120, ROUTES, 0.25, with);
         assertTrue(r.caughtUpMs >= 0 && r.caughtUpMs <= 15_000, r.toString());
@@ -241,7 +255,9 @@
         int most = 0;
         for (long t = 0; t < ms; t += 5) {
             mesh.world.run(5);
-            for (Progress p : mesh.leader() == null ? List.<Progress>of() : mesh.leader().raft.progress()) {
+            for (Progress p : mesh.leader() == null
+                    ? List.<Progress>of()
+                    : mesh.leader().raft.progress()) {
                 most = Math.max(most, p.snapshots());
             }
         }
@@ -318,7 +334,10 @@
             }
             assertNotNull(f);
             if (f.path("size").asInt() > 0) {
-                assertTrue(f.path("sent").asInt() >= last && f.path("sent").asInt() <= f.path("size").asInt(), f.toString());
+                assertTrue(
+                        f.path("sent").asInt() >= last
+                                && f.path("sent").asInt() <= f.path("size").asInt(),
+                        f.toString());
                 last = f.path("sent").asInt();
             }
         }
@@ -389,9 +408,19 @@
 
     private ObjectNode part(HelmCore to, Vault.Snapshot s, String data) {
         HelmCore l = mesh.helms.get(leader);
-        ObjectNode m = JsonNodeFactory.instance.objectNode().put("to", to.raft.self()).put("from", l.raft.self())
-                .put("term", l.raft.term()).put("control", "").put("n", 1).put("id", "x").put("index", s.index())
-                .put("lastTerm", s.term()).put("size", data.length()).put("offset", 0).put("data", data);
+        ObjectNode m = JsonNodeFactory.instance
+                .objectNode()
+                .put("to", to.raft.self())
+                .put("from", l.raft.self())
+                .put("term", l.raft.term())
+                .put("control", "")
+                .put("n", 1)
+                .put("id", "x")
+                .put("index", s.index())
+                .put("lastTerm", s.term())
+                .put("size", data.length())
+                .put("offset", 0)
+                .put("data", data);
         s.voters().forEach(m.putArray("voters")::add);
         return m;
     }
@@ -407,7 +436,7 @@
         Vault.Snapshot s = machine(leader).disk.load().snapshot();
         Vault.Saved before = machine(back).disk.load();
         machine(back).disk.slowMs = 30;
-        b.serve("part", part(b, s, s.data()), n -> { });
+        b.serve("part", part(b, s, s.data()), n -> {});
         mesh.world.run(seed * 12);
         mesh.killHelm(back, seed % 2 == 0);
         Vault.Saved after = machine(back).disk.load();
@@ -460,8 +489,15 @@
         Vault.Snapshot s = was.snapshot();
         Field held = SimWorld.Disk.class.getDeclaredField("held");
         held.setAccessible(true);
-        held.set(disk, new Vault.Saved(was.incarnation(), was.term(), was.vote(), was.commit(),
-                new Vault.Snapshot(s.index(), s.term(), s.voters(), damaged(s.data())), was.entries()));
+        held.set(
+                disk,
+                new Vault.Saved(
+                        was.incarnation(),
+                        was.term(),
+                        was.vote(),
+                        was.commit(),
+                        new Vault.Snapshot(s.index(), s.term(), s.voters(), damaged(s.data())),
+                        was.entries()));
         // Alone with the third it must not lead, and where it would be needed nobody does.
         mesh.killHelm(leader, true);
         mesh.world.run(3000);
@@ -473,7 +509,8 @@
         mesh.startHelm(leader, false);
         mesh.world.run(5000);
         assertNotNull(mesh.leader());
-        assertEquals(mesh.leader().ledger().snapshot(), mesh.helms.get(back).ledger().snapshot());
+        assertEquals(
+                mesh.leader().ledger().snapshot(), mesh.helms.get(back).ledger().snapshot());
         assertEquals(epoch, mesh.helms.get(back).ledger().current().epoch());
         mesh.killHelm(mesh.leader() == mesh.helms.get(leader) ? leader : third, true);
         mesh.world.run(4000);
@@ -531,7 +568,8 @@
             known[0] = mesh.leader().raft.progress().stream().anyMatch(p -> p.differs());
         }
         assertTrue(known[0], "the leader knows");
-        // So slow that the snapshot is under way when the leader dies, and so quick that what was under way has come by the end.
+        // So slow that the snapshot is under way when the leader dies, and so quick that what was under way has come by
+        // the end.
         machine(back).linkRate = 4;
         mesh.world.run(400);
         mesh.killHelm(leader, true);
@@ -561,7 +599,10 @@
         assertFalse(mutated(odd));
         mesh.world.run(1000);
         assertNotEquals(odd, mesh.leader());
-        mesh.helms.values().forEach(h -> assertEquals(mesh.leader().ledger().snapshot(), h.ledger().snapshot()));
+        mesh.helms
+                .values()
+                .forEach(h -> assertEquals(
+                        mesh.leader().ledger().snapshot(), h.ledger().snapshot()));
     }
 
     /** The same bytes whether a member applied all throughout, or took a snapshot anywhere and went on from there. */
@@ -574,21 +615,35 @@
         ObjectMapper json = new ObjectMapper();
         long number = 0;
         for (long index = 1; index < 400; index++) {
-            ObjectNode e = switch (r.nextInt(7)) {
-                case 0, 1 -> Ledger.entry("candidate").put("epoch", number + 1 + r.nextInt(2))
-                        .put("base", throughout.current().epoch()).put("doc", "d" + index).put("digest", "g" + r.nextInt(300));
-                case 2 -> Ledger.entry("decide").put("epoch", throughout.candidate() == null ? 0 : throughout.candidate().epoch());
-                case 3 -> Ledger.entry("phase").put("epoch", number).put("phase", "MARKED");
-                case 4 -> Ledger.entry("evac").put("zone", "z" + r.nextInt(9)).put("on", r.nextBoolean());
-                case 5 -> Ledger.entry("duty").put("key", "k" + r.nextInt(9)).put("holder", "h" + r.nextInt(4));
-                default -> {
-                    ObjectNode m = Ledger.entry(r.nextBoolean() ? "members" : "abort").put("epoch", number + 1);
-                    for (int v = r.nextInt(3); v < 5; v++) {
-                        m.withArray("voters").add("v" + (v * 7 + r.nextInt(3)) % 6);
-                    }
-                    yield m;
-                }
-            };
+            ObjectNode e =
+                    switch (r.nextInt(7)) {
+                        case 0, 1 ->
+                            Ledger.entry("candidate")
+                                    .put("epoch", number + 1 + r.nextInt(2))
+                                    .put("base", throughout.current().epoch())
+                                    .put("doc", "d" + index)
+                                    .put("digest", "g" + r.nextInt(300));
+                        case 2 ->
+                            Ledger.entry("decide")
+                                    .put(
+                                            "epoch",
+                                            throughout.candidate() == null
+                                                    ? 0
+                                                    : throughout.candidate().epoch());
+                        case 3 -> Ledger.entry("phase").put("epoch", number).put("phase", "MARKED");
+                        case 4 ->
+                            Ledger.entry("evac").put("zone", "z" + r.nextInt(9)).put("on", r.nextBoolean());
+                        case 5 ->
+                            Ledger.entry("duty").put("key", "k" + r.nextInt(9)).put("holder", "h" + r.nextInt(4));
+                        default -> {
+                            ObjectNode m = Ledger.entry(r.nextBoolean() ? "members" : "abort")
+                                    .put("epoch", number + 1);
+                            for (int v = r.nextInt(3); v < 5; v++) {
+                                m.withArray("voters").add("v" + (v * 7 + r.nextInt(3)) % 6);
+                            }
+                            yield m;
+                        }
+                    };
             throughout.apply(index, e);
             restored.apply(index, e);
             number = throughout.current().epoch();
@@ -632,6 +687,9 @@
         mesh.world.run(60_000);
         assertFalse(mesh.world.kinds.containsKey("part"), "parts");
         assertFalse(mesh.world.kinds.containsKey("heartbeat"), "heartbeats beside other messages");
-        assertEquals(List.of(800L), Arrays.stream(mesh.world.kinds.get("append"), 0, 1).boxed().toList(), "messages");
+        assertEquals(
+                List.of(800L),
+                Arrays.stream(mesh.world.kinds.get("append"), 0, 1).boxed().toList(),
+                "messages");
     }
 }
--- a/src/test/java/bramblespool/ClusterTest.java
+++ b/src/test/java/bramblespool/ClusterTest.java
@@ -137,7 +137,7 @@
         order(mesh, 5, 0, "one");
         String led = mesh.leader().raft.self().split("#")[0];
         mesh.world.machine(led).disk.full = true;
-        mesh.order(SimMesh.change(6, 5, "two"), o -> { });
+        mesh.order(SimMesh.change(6, 5, "two"), o -> {});
         mesh.world.run(4000);
         assertFalse(mesh.helms.get(led).raft.leads(), "a helm that cannot sync gives up the lead");
         long now = mesh.leader().ledger().current().epoch();
@@ -175,12 +175,14 @@
         mesh.world.run(4000);
         order(mesh, 5, 0, "one");
         mesh.world.run(500);
-        mesh.order(SimMesh.change(7, 5, "lost"), o -> { });
+        mesh.order(SimMesh.change(7, 5, "lost"), o -> {});
         mesh.world.run(killedAfter);
         mesh.killHelm(Raft.addressOf(mesh.leader().raft.leaderId()), true);
         String away = SimMesh.weftPeer(1);
         mesh.world.isolate(away, true);
-        for (int i = 0; i < 200 && (mesh.leader() == null || mesh.leader().ledger().candidate() != null); i++) {
+        for (int i = 0;
+                i < 200 && (mesh.leader() == null || mesh.leader().ledger().candidate() != null);
+                i++) {
             mesh.world.run(20);
         }
         boolean won = mesh.leader().ledger().current().epoch() == 5;
@@ -191,8 +193,9 @@
         mesh.world.isolate(away, false);
         for (int i = 0; i < 200; i++) {
             mesh.world.run(20);
-            mesh.wefts.forEach((p, w) -> assertTrue(w.shadow.epoch() < 7
-                    || (w.shadow.real().route("x.example", "/won/") != null) == won, p + " has a version that lost"));
+            mesh.wefts.forEach((p, w) -> assertTrue(
+                    w.shadow.epoch() < 7 || (w.shadow.real().route("x.example", "/won/") != null) == won,
+                    p + " has a version that lost"));
         }
         epochs(mesh, 7);
     }
@@ -222,7 +225,9 @@
         order(mesh, 5, 0, "one");
         mesh.world.run(1000);
         String cut = mesh.helms.keySet().stream()
-                .filter(h -> !h.equals(Raft.addressOf(mesh.leader().raft.leaderId()))).findFirst().orElseThrow();
+                .filter(h -> !h.equals(Raft.addressOf(mesh.leader().raft.leaderId())))
+                .findFirst()
+                .orElseThrow();
         for (String h : mesh.helms.keySet()) {
             mesh.world.cut(cut, h, !h.equals(cut));
             mesh.world.cut(h, cut, !h.equals(cut));
@@ -299,7 +304,8 @@
         WeftCore weft = mesh.wefts.get(SimMesh.weftPeer(0));
         Ledger.Duty first = leased(mesh, weft);
         mesh.killHelm(first.holder(), true);
-        String leader = mesh.leader() == null ? null : Raft.addressOf(mesh.leader().raft.leaderId());
+        String leader =
+                mesh.leader() == null ? null : Raft.addressOf(mesh.leader().raft.leaderId());
         if (leader != null) {
             mesh.killHelm(leader, true);
             mesh.startHelm(leader, false);
@@ -457,8 +463,9 @@
             assertEquals(List.of(), broken, "round " + round);
             assertNotNull(mesh.leader(), "a leader in round " + round);
             long now = mesh.leader().ledger().current().epoch();
-            assertTrue(now >= acknowledged[0], "round " + round + ": " + acknowledged[0] + " was acknowledged, " + now
-                    + " is in force");
+            assertTrue(
+                    now >= acknowledged[0],
+                    "round " + round + ": " + acknowledged[0] + " was acknowledged, " + now + " is in force");
         }
         mesh.world.run(5000);
         epochs(mesh, mesh.leader().ledger().current().epoch());
--- a/src/test/java/bramblespool/FleetTest.java
+++ b/src/test/java/bramblespool/FleetTest.java
@@ -30,8 +30,17 @@
     }
 
     private void door(String node, String zone, int slow) {
-        ObjectNode b = JsonNodeFactory.instance.objectNode().put("peer", node + ":1").put("inbound", node + ":2").put("zone", zone);
-        b.putArray("doors").addObject().put("target", "desk").put("servers", "s-" + node).put("capacity", 4).put("open", true)
+        ObjectNode b = JsonNodeFactory.instance
+                .objectNode()
+                .put("peer", node + ":1")
+                .put("inbound", node + ":2")
+                .put("zone", zone);
+        b.putArray("doors")
+                .addObject()
+                .put("target", "desk")
+                .put("servers", "s-" + node)
+                .put("capacity", 4)
+                .put("open", true)
                 .put("slow", slow);
         fleet.hear(new News.Item(Fleet.SIDE + node, 1, ++seq, b));
     }
--- a/src/test/java/bramblespool/FormsTest.java
+++ b/src/test/java/bramblespool/FormsTest.java
@@ -33,16 +33,19 @@
     private static final String GOOD = SimMesh.document(5, 0, "p");
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"pathPrefix\"|\"pathprefix\"|pathPrefix: is missing",
-        "/p/|p/|must begin and end with a slash",
-        "/p/|/p|must begin and end with a slash",
-        "null,2,\"desk\"|null,2,\"nobody\"|unknown service: nobody",
-        "null,2,\"desk\"|[{\"target\":\"desk\",\"share\":-1}],2,null|a weight is below 0",
-        "\"idempotent\"|\"sometimes\"|must be one of idempotent, mutating, keyed, not 'sometimes'",
-        "\"1500ms\"|\"soon\"|must be a time",
-        "\"epoch\":5|\"epoch\":5.5|whole number",
-        "\"rows\":[[\"r\"|\"rows\":[[\"r\",\"extra\"|one value for each column"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"pathPrefix\"|\"pathprefix\"|pathPrefix: is missing",
+                "/p/|p/|must begin and end with a slash",
+                "/p/|/p|must begin and end with a slash",
+                "null,2,\"desk\"|null,2,\"nobody\"|unknown service: nobody",
+                "null,2,\"desk\"|[{\"target\":\"desk\",\"share\":-1}],2,null|a weight is below 0",
+                "\"idempotent\"|\"sometimes\"|must be one of idempotent, mutating, keyed, not 'sometimes'",
+                "\"1500ms\"|\"soon\"|must be a time",
+                "\"epoch\":5|\"epoch\":5.5|whole number",
+                "\"rows\":[[\"r\"|\"rows\":[[\"r\",\"extra\"|one value for each column"
+            })
     void anInvalidConfigurationIsToldWhy(String from, String to, String fault) {
         assertTrue(GOOD.contains(from));
         Config.Invalid e = assertThrows(Config.Invalid.class, () -> Config.compile(GOOD.replace(from, to)));
@@ -51,7 +54,8 @@
 
     @Test
     void everyFaultIsNamedAtOnceAndACutDocumentIsRefused() {
-        Config.Invalid e = assertThrows(Config.Invalid.class,
+        Config.Invalid e = assertThrows(
+                Config.Invalid.class,
                 () -> Config.compile(GOOD.replace("/p/", "p").replace("null,2,\"desk\"", "null,2,\"nobody\"")));
         assertTrue(e.getMessage().contains("slash") && e.getMessage().contains("nobody"), e.getMessage());
         for (int cut = 1; cut < GOOD.strip().length(); cut += 17) {
@@ -62,20 +66,25 @@
 
     /** What a lenient reader would mend by itself cannot be read whole, and what it would make of it was never sent. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "null,2|,2",
-        "\"epoch\":5|epoch:5",
-        "\"epoch\":5|\"epoch\"=5",
-        "\"epoch\":5|\"epoch\":0005",
-        "\"epoch\":5|/* 5 */ \"epoch\":5",
-        "\"epoch\":5,|\"epoch\":5;",
-        "\"/health\"|'/health'",
-        "\"desk\"]]|\"desk\"],]",
-        "13.0|NaN"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "null,2|,2",
+                "\"epoch\":5|epoch:5",
+                "\"epoch\":5|\"epoch\"=5",
+                "\"epoch\":5|\"epoch\":0005",
+                "\"epoch\":5|/* 5 */ \"epoch\":5",
+                "\"epoch\":5,|\"epoch\":5;",
+                "\"/health\"|'/health'",
+                "\"desk\"]]|\"desk\"],]",
+                "13.0|NaN"
+            })
     void whatIsNotQuiteJsonIsInvalid(String from, String to) {
         assertTrue(GOOD.contains(from));
         assertThrows(Config.Invalid.class, () -> Config.compile(GOOD.replace(from, to)));
-        assertThrows(Config.Invalid.class,
+        assertThrows(
+                Config.Invalid.class,
                 () -> Orders.change(false, GOOD.replace(from, to).getBytes(StandardCharsets.UTF_8)));
     }
 
@@ -92,7 +101,8 @@
     void twoRoutesInOnePlaceAreInvalid() {
         String row = "[\"r\",\"x.example\",\"/p/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]";
         assertTrue(GOOD.contains(row));
-        Config.Invalid e = assertThrows(Config.Invalid.class,
+        Config.Invalid e = assertThrows(
+                Config.Invalid.class,
                 () -> Config.compile(GOOD.replace(row, row + "," + row.replace("\"r\"", "\"q\""))));
         assertTrue(e.getMessage().contains("same place"), e.getMessage());
     }
@@ -100,7 +110,8 @@
     @Test
     void theLongestPrefixOnTheExactPathWins() throws Config.Invalid {
         String row = "[\"r\",\"x.example\",\"/p/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]";
-        Config c = Config.compile(GOOD.replace(row, row + "," + row.replace("\"r\"", "\"q\"").replace("/p/", "/p/%2f/")));
+        Config c = Config.compile(
+                GOOD.replace(row, row + "," + row.replace("\"r\"", "\"q\"").replace("/p/", "/p/%2f/")));
         assertEquals("q", c.route("X.example:80", "/p/%2f/1").name());
         assertEquals("r", c.route("x.example", "/p/%2F/1").name());
         assertNull(c.route("x.example", "/p"));
@@ -124,41 +135,49 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "quiet = \"3s\"|quiet = 3|bounds.quiet: must be a text",
-        "quiet = \"3s\"||bounds.quiet: is missing",
-        "drain = \"2500ms\"|drain = \"2500\"|bounds.drain: must be a time",
-        "appAddr = \"10.0.1.1:9000\"|appAddr = \"nowhere\"|appAddr: must be an address",
-        "portRange = [7000, 7010]|portRange = [7010, 7000]|portRange: must be two ports",
-        "[limits]||limits: section is missing",
-        "node = \"weft-1\"|node = |is no TOML"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "quiet = \"3s\"|quiet = 3|bounds.quiet: must be a text",
+                "quiet = \"3s\"||bounds.quiet: is missing",
+                "drain = \"2500ms\"|drain = \"2500\"|bounds.drain: must be a time",
+                "appAddr = \"10.0.1.1:9000\"|appAddr = \"nowhere\"|appAddr: must be an address",
+                "portRange = [7000, 7010]|portRange = [7010, 7000]|portRange: must be two ports",
+                "[limits]||limits: section is missing",
+                "node = \"weft-1\"|node = |is no TOML"
+            })
     void settingsThatAreNotFitNameFileAndField(String from, String to, String fault) {
         String good = toml();
         assertTrue(good.contains(from), good);
-        Settings.Unfit e = assertThrows(Settings.Unfit.class,
-                () -> Settings.parse(good.replace(from, to == null ? "" : to), "weft.toml"));
+        Settings.Unfit e = assertThrows(
+                Settings.Unfit.class, () -> Settings.parse(good.replace(from, to == null ? "" : to), "weft.toml"));
         assertTrue(e.getMessage().startsWith("weft.toml: ") && e.getMessage().contains(fault), e.getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "front = \"10.0.1.1:8004\"||listeners.front: is missing",
-        "ready = \"10.0.1.1:8003\"||listeners.ready: is missing",
-        "address = \"10.9.9.9:80\"||platform.address: is missing",
-        "[platform]|[other]|platform: section is missing",
-        "discovery = \"platform\"|discovery = \"rumour\"|discovery: must be one of static, platform, not 'rumour'",
-        "entry = \"virtual_ip\"|entry = \"door\"|entry: must be one of static, virtual_ip, not 'door'",
-        "portRange = [7000, 7010]|portRange = [7000, 7000]|portRange: must leave two ports"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "front = \"10.0.1.1:8004\"||listeners.front: is missing",
+                "ready = \"10.0.1.1:8003\"||listeners.ready: is missing",
+                "address = \"10.9.9.9:80\"||platform.address: is missing",
+                "[platform]|[other]|platform: section is missing",
+                "discovery = \"platform\"|discovery = \"rumour\"|discovery: must be one of static, platform, not 'rumour'",
+                "entry = \"virtual_ip\"|entry = \"door\"|entry: must be one of static, virtual_ip, not 'door'",
+                "portRange = [7000, 7010]|portRange = [7000, 7000]|portRange: must leave two ports"
+            })
     void edgeSettingsThatAreNotFitNameFileAndField(String from, String to, String fault) throws Exception {
-        String good = toml().replace("sidecar", "edge").replace("appAddr = \"10.0.1.1:9000\"\ntarget = \"desk\"",
-                "deployment = \"api\"\ndiscovery = \"platform\"\nentry = \"virtual_ip\"\n[platform]\naddress = \"10.9.9.9:80\"")
+        String good = toml().replace("sidecar", "edge")
+                .replace(
+                        "appAddr = \"10.0.1.1:9000\"\ntarget = \"desk\"",
+                        "deployment = \"api\"\ndiscovery = \"platform\"\nentry = \"virtual_ip\"\n[platform]\naddress = \"10.9.9.9:80\"")
                 .replace("control = \"10.0.1.1:8000\"", "front = \"10.0.1.1:8004\"");
         assertTrue(good.contains(from), good);
         Settings fit = Settings.parse(good, "hem.toml");
         assertEquals("10.0.1.1:8004", fit.outbound());
         assertEquals("10.0.1.1:7001", fit.inbound(), "hems call each other on the second port");
-        Settings.Unfit e = assertThrows(Settings.Unfit.class,
-                () -> Settings.parse(good.replace(from, to == null ? "" : to), "hem.toml"));
+        Settings.Unfit e = assertThrows(
+                Settings.Unfit.class, () -> Settings.parse(good.replace(from, to == null ? "" : to), "hem.toml"));
         assertTrue(e.getMessage().startsWith("hem.toml: ") && e.getMessage().contains(fault), e.getMessage());
     }
 
@@ -199,7 +218,10 @@
         for (Log.Event e : Log.Event.values()) {
             code.add("B" + e.number + " " + e.name() + " " + e.level);
         }
-        assertEquals(code.size(), new TreeSet<>(code.stream().map(c -> c.split(" ")[0]).toList()).size(), "numbers differ");
+        assertEquals(
+                code.size(),
+                new TreeSet<>(code.stream().map(c -> c.split(" ")[0]).toList()).size(),
+                "numbers differ");
         List<String> docs = new ArrayList<>();
         Matcher m = Pattern.compile("^\\| (B\\d+) \\| (\\w+) \\| (\\w+) \\|", Pattern.MULTILINE)
                 .matcher(Files.readString(Path.of("docs/log-events.md")));
@@ -211,22 +233,43 @@
 
     @Test
     void dependenciesGoOnlyDownwards() {
-        Architectures.layeredArchitecture().consideringOnlyDependenciesInLayers()
-                .layer("role").definedBy("bramblespool.role..").layer("coordination").definedBy("bramblespool.coordination..")
-                .layer("protocol").definedBy("bramblespool.protocol..").layer("transport").definedBy("bramblespool.transport..")
-                .layer("raft").definedBy("bramblespool.raft..").layer("state").definedBy("bramblespool.state..")
-                .whereLayer("role").mayNotBeAccessedByAnyLayer()
-                .whereLayer("coordination").mayOnlyBeAccessedByLayers("role")
-                .whereLayer("raft").mayOnlyBeAccessedByLayers("role", "coordination")
-                .whereLayer("protocol").mayOnlyBeAccessedByLayers("role", "coordination")
-                .whereLayer("transport").mayOnlyBeAccessedByLayers("role", "coordination", "raft", "protocol")
-                .whereLayer("state").mayOnlyBeAccessedByLayers("role", "coordination", "raft", "protocol", "transport")
-                .check(new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+        Architectures.layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("role")
+                .definedBy("bramblespool.role..")
+                .layer("coordination")
+                .definedBy("bramblespool.coordination..")
+                .layer("protocol")
+                .definedBy("bramblespool.protocol..")
+                .layer("transport")
+                .definedBy("bramblespool.transport..")
+                .layer("raft")
+                .definedBy("bramblespool.raft..")
+                .layer("state")
+                .definedBy("bramblespool.state..")
+                .whereLayer("role")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("coordination")
+                .mayOnlyBeAccessedByLayers("role")
+                .whereLayer("raft")
+                .mayOnlyBeAccessedByLayers("role", "coordination")
+                .whereLayer("protocol")
+                .mayOnlyBeAccessedByLayers("role", "coordination")
+                .whereLayer("transport")
+                .mayOnlyBeAccessedByLayers("role", "coordination", "raft", "protocol")
+                .whereLayer("state")
+                .mayOnlyBeAccessedByLayers("role", "coordination", "raft", "protocol", "transport")
+                .check(new ClassFileImporter()
+                        .withImportOption(new ImportOption.DoNotIncludeTests())
                         .importPackages("bramblespool"));
-        com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses().that()
-                .resideInAnyPackage("bramblespool.coordination..", "bramblespool.raft..").should().dependOnClassesThat()
+        com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses()
+                .that()
+                .resideInAnyPackage("bramblespool.coordination..", "bramblespool.raft..")
+                .should()
+                .dependOnClassesThat()
                 .resideInAnyPackage("io.undertow..", "org.xnio..", "java.sql..")
-                .check(new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+                .check(new ClassFileImporter()
+                        .withImportOption(new ImportOption.DoNotIncludeTests())
                         .importPackages("bramblespool"));
     }
 }
--- a/src/test/java/bramblespool/GateTest.java
+++ b/src/test/java/bramblespool/GateTest.java
@@ -38,7 +38,8 @@
     @BeforeEach
     void boot() {
         machine.boot();
-        gate = new Gate(machine, new Gate.Rules(1500, 833, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> { }, Log.silent());
+        gate = new Gate(
+                machine, new Gate.Rules(1500, 833, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> {}, Log.silent());
         gate.warming(8.5, 6000);
     }
 
@@ -48,15 +49,21 @@
 
     private void send(int rank, long work) {
         Gate.Ticket[] t = new Gate.Ticket[1];
-        t[0] = gate.offer("r", rank, 600, world.now() + 1500, () -> {
-            arrivals.add(world.now());
-            running++;
-            mostRunning = Math.max(mostRunning, running);
-            machine.after(work, () -> {
-                running--;
-                t[0].done(true);
-            });
-        }, refused::add);
+        t[0] = gate.offer(
+                "r",
+                rank,
+                600,
+                world.now() + 1500,
+                () -> {
+                    arrivals.add(world.now());
+                    running++;
+                    mostRunning = Math.max(mostRunning, running);
+                    machine.after(work, () -> {
+                        running--;
+                        t[0].done(true);
+                    });
+                },
+                refused::add);
     }
 
     @Test
@@ -94,7 +101,7 @@
     void aGateThatComesAfterTheConfigurationKnowsItsBound() throws Config.Invalid {
         Gates gates = new Gates();
         gates.warming(Config.compile(SimMesh.document(5, 0, "one")));
-        gate = new Gate(machine, new Gate.Rules(0, 0, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> { }, Log.silent());
+        gate = new Gate(machine, new Gate.Rules(0, 0, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> {}, Log.silent());
         gates.add(gate);
         gate.listed("i1", 6, false, 6000);
         for (int i = 0; i < 100; i++) {
@@ -219,7 +226,7 @@
         ArrayDeque<String> order = new ArrayDeque<>();
         List<Gate.Ticket> held = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            held.add(gate.offer("r", 1, 600, world.now() + 1500, () -> { }, refused::add));
+            held.add(gate.offer("r", 1, 600, world.now() + 1500, () -> {}, refused::add));
         }
         gate.offer("r", 2, 600, world.now() + 1000, () -> order.add("second"), refused::add);
         gate.offer("r", 2, 600, world.now() + 900, () -> order.add("third"), refused::add);
@@ -272,7 +279,7 @@
         beat("i1", false, 0);
         for (int i = 0; i < 40; i++) {
             Gate.Ticket[] t = new Gate.Ticket[1];
-            t[0] = gate.offer("r", 1, 1000, world.now() + 1000, () -> { }, r -> { });
+            t[0] = gate.offer("r", 1, 1000, world.now() + 1000, () -> {}, r -> {});
             t[0].outcome(i % 2 == 0);
             t[0].done(false);
         }
--- a/src/test/java/bramblespool/GatewayTest.java
+++ b/src/test/java/bramblespool/GatewayTest.java
@@ -96,7 +96,9 @@
         mesh.killHem(gone);
         mesh.world.run(4000);
         eachHasOneSteward();
-        long moved = platform.list.keySet().stream().filter(id -> !stewards(id).equals(before.get(id))).count();
+        long moved = platform.list.keySet().stream()
+                .filter(id -> !stewards(id).equals(before.get(id)))
+                .count();
         assertEquals(4, moved, "only the servers of the one that went have moved");
         mesh.startHem(gone);
         mesh.world.run(6000);
@@ -125,7 +127,10 @@
         mesh.startHem(SimMesh.hemPeer(0));
         mesh.world.run(8000);
         eachHasOneSteward();
-        assertEquals(12, mesh.hems.get(SimMesh.hemPeer(0)).gates.servers().size(), "all of its zone, and nobody else holds on");
+        assertEquals(
+                12,
+                mesh.hems.get(SimMesh.hemPeer(0)).gates.servers().size(),
+                "all of its zone, and nobody else holds on");
     }
 
     /** The reader dies in the moment in which it has seen a server draining, and has told nobody. */
@@ -217,19 +222,24 @@
     @ParameterizedTest
     @ValueSource(strings = {"429", "cut", "state", "capacity", "address", "twice", "endless", "silence"})
     void aBadPageTakesNothingAndTheLastListStands(String how) {
-        String good = "{\"id\":\"x1\",\"target\":\"desk\",\"address\":\"10.3.9.9:80\",\"capacity\":4,\"state\":\"ready\",\"warmupLeft\":\"0ms\"}";
-        String entry = switch (how) {
-            case "state" -> good.replace("ready", "asleep");
-            case "capacity" -> good.replace("4,", "0,");
-            case "address" -> good.replace(":80", "");
-            case "twice" -> good + "," + good;
-            default -> good;
-        };
+        String good =
+                "{\"id\":\"x1\",\"target\":\"desk\",\"address\":\"10.3.9.9:80\",\"capacity\":4,\"state\":\"ready\",\"warmupLeft\":\"0ms\"}";
+        String entry =
+                switch (how) {
+                    case "state" -> good.replace("ready", "asleep");
+                    case "capacity" -> good.replace("4,", "0,");
+                    case "address" -> good.replace(":80", "");
+                    case "twice" -> good + "," + good;
+                    default -> good;
+                };
         String page = "{\"servers\":{\"a\":[" + entry + "],\"b\":[],\"c\":[]},\"nextToken\":"
                 + (how.equals("endless") ? "\"p\"" : "null") + "}";
-        platform.instead = new Platform.Page(how.equals("429") ? 429 : how.equals("silence") ? 0 : 200,
-                how.equals("silence") ? null : (how.equals("cut") ? page.substring(0, page.length() - 9) : page)
-                        .getBytes(StandardCharsets.UTF_8));
+        platform.instead = new Platform.Page(
+                how.equals("429") ? 429 : how.equals("silence") ? 0 : 200,
+                how.equals("silence")
+                        ? null
+                        : (how.equals("cut") ? page.substring(0, page.length() - 9) : page)
+                                .getBytes(StandardCharsets.UTF_8));
         if (!how.equals("429") && !how.equals("silence") && !how.equals("endless")) {
             assertThrows(Config.Invalid.class, () -> Listing.read(platform.instead.body()));
         }
@@ -248,7 +258,11 @@
     void anAssignmentUnderAnOlderFenceIsDropped() {
         WeftCore hem = mesh.hems.get(SimMesh.hemPeer(0));
         List<String> mine = hem.gates.servers();
-        ObjectNode old = JsonNodeFactory.instance.objectNode().put("zone", "a").put("fence", 1).put("n", 99);
+        ObjectNode old = JsonNodeFactory.instance
+                .objectNode()
+                .put("zone", "a")
+                .put("fence", 1)
+                .put("n", 99);
         old.putArray("servers");
         ObjectNode[] got = new ObjectNode[1];
         hem.serve("assign", old, a -> got[0] = a);
--- a/src/test/java/bramblespool/HundredsTest.java
+++ b/src/test/java/bramblespool/HundredsTest.java
@@ -48,10 +48,13 @@
     }
 
     private long sessionsAtHome() {
-        return mesh.wefts.entrySet().stream().filter(e -> {
-            int i = new ArrayList<>(mesh.wefts.keySet()).indexOf(e.getKey());
-            return e.getValue().sessionOpen() && SimMesh.helmPeer(i % 6).equals(e.getValue().helm());
-        }).count();
+        return mesh.wefts.entrySet().stream()
+                .filter(e -> {
+                    int i = new ArrayList<>(mesh.wefts.keySet()).indexOf(e.getKey());
+                    return e.getValue().sessionOpen()
+                            && SimMesh.helmPeer(i % 6).equals(e.getValue().helm());
+                })
+                .count();
     }
 
     private Orders.Outcome order(Orders.Change change, long withinMs) {
@@ -64,7 +67,9 @@
     }
 
     private long behind(long epoch) {
-        return mesh.wefts.values().stream().filter(w -> w.shadow.epoch() != epoch).count();
+        return mesh.wefts.values().stream()
+                .filter(w -> w.shadow.epoch() != epoch)
+                .count();
     }
 
     @Test
@@ -112,7 +117,8 @@
         assertEquals(200, got.status());
         for (int t = 0; t < 2500; t += 50) {
             mesh.world.run(50);
-            most[0] = Math.max(most[0], (int) mesh.wefts.values().stream().filter(w -> !w.sessionOpen()).count());
+            most[0] = Math.max(most[0], (int)
+                    mesh.wefts.values().stream().filter(w -> !w.sessionOpen()).count());
         }
         assertEquals(0, behind(6), "in force everywhere within apply");
         assertEquals(0, most[0], "sessions lost");
@@ -166,15 +172,18 @@
     @Test
     void aHelmThatDoesNotKeepUpShedsComparisonsAndNothingElse() {
         mesh.world.run(8000);
-        String slow = mesh.helms.keySet().stream().filter(h -> !h.equals(Raft.addressOf(mesh.leader().raft.leaderId())))
-                .findFirst().orElseThrow();
+        String slow = mesh.helms.keySet().stream()
+                .filter(h -> !h.equals(Raft.addressOf(mesh.leader().raft.leaderId())))
+                .findFirst()
+                .orElseThrow();
         long term = mesh.leader().raft.term();
         mesh.world.machine(slow).messageMs = 14;
         int lost = 0;
         boolean strained = false;
         for (int t = 0; t < 60; t++) {
             mesh.world.run(100);
-            lost = Math.max(lost, (int) mesh.wefts.values().stream().filter(w -> !w.sessionOpen()).count());
+            lost = Math.max(lost, (int)
+                    mesh.wefts.values().stream().filter(w -> !w.sessionOpen()).count());
             ObjectNode[] status = new ObjectNode[1];
             mesh.helms.get(slow).serve("status", JsonNodeFactory.instance.objectNode(), n -> status[0] = n);
             if (status[0].path("strained").asBoolean()) {
--- a/src/test/java/bramblespool/LimitsTest.java
+++ b/src/test/java/bramblespool/LimitsTest.java
@@ -30,8 +30,10 @@
 /** The operator's limits on clients' connections, on real sockets: one helm, one weft, no server. */
 class LimitsTest {
     private static final int IDLE_MS = 400;
+
     @TempDir
     Path dir;
+
     private final int[] port = new int[6];
     private static final String WEFT = "127.0.0.5";
     private static final String HELM = "127.0.0.6";
@@ -64,7 +66,8 @@
     }
 
     private Settings settings(String machineClass, String ip) throws Settings.Unfit {
-        return Settings.parse("""
+        return Settings.parse(
+                """
                 node = "%1$s-1"
                 machineClass = "%1$s"
                 ip = "%2$s"
@@ -82,16 +85,21 @@
                 ready = "%2$s:%9$d"
                 [limits]
                 memoryMb = 0
-                %10$s                """.formatted(machineClass, ip, port[0], HELM, port[1], dir, port[2], port[3], port[4],
-                SimMesh.BOUNDS), "test");
+                %10$s                """.formatted(machineClass, ip, port[0], HELM, port[1], dir, port[2], port[3], port[4], SimMesh.BOUNDS),
+                "test");
     }
 
     /** Puts a version in force, whose only prefix is its number, and waits until the weft knows no other. */
     private void configure(int epoch, int base, int idleMs, int bodyBytes) throws IOException {
-        String body = SimMesh.document(epoch, base, "p" + epoch).replace("\"15s\"", "\"" + idleMs + "ms\"")
+        String body = SimMesh.document(epoch, base, "p" + epoch)
+                .replace("\"15s\"", "\"" + idleMs + "ms\"")
                 .replace("1000000", Integer.toString(bodyBytes));
-        until(HELM, port[1], "POST /bramblespool/config/replace HTTP/1.1\r\nHost: h\r\nContent-Length: " + body.length()
-                + "\r\n\r\n" + body, "200");
+        until(
+                HELM,
+                port[1],
+                "POST /bramblespool/config/replace HTTP/1.1\r\nHost: h\r\nContent-Length: " + body.length() + "\r\n\r\n"
+                        + body,
+                "200");
         until(WEFT, port[3], get("/p" + base + "/x"), "404");
     }
 
@@ -133,20 +141,23 @@
             assertEquals("404", ask(one, get("/nowhere/")));
             long from = System.nanoTime();
             assertEquals(-1, one.getInputStream().read(), "closed by the weft");
-            assertTrue(System.nanoTime() - from >= IDLE_MS * 1_000_000L * 4 / 5, "but not within what clients count on");
+            assertTrue(
+                    System.nanoTime() - from >= IDLE_MS * 1_000_000L * 4 / 5, "but not within what clients count on");
         }
         try (Socket two = new Socket(WEFT, port[3])) {
             assertEquals("404", ask(two, get("/nowhere/")));
             configure(5, 3, IDLE_MS * 100, 1000);
             two.setSoTimeout(IDLE_MS * 2);
-            assertThrows(SocketTimeoutException.class, () -> two.getInputStream().read(), "it rests under the new bound");
+            assertThrows(
+                    SocketTimeoutException.class, () -> two.getInputStream().read(), "it rests under the new bound");
             assertEquals("404", ask(two, get("/nowhere/")));
         }
     }
 
     @Test
     void aBodyIsBoundByTheLimitOfNowAlsoOnAnOldConnection() throws Exception {
-        String large = "POST /p5/x HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: a\r\nContent-Length: 2000\r\n\r\n" + "x".repeat(2000);
+        String large = "POST /p5/x HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: a\r\nContent-Length: 2000\r\n\r\n"
+                + "x".repeat(2000);
         configure(4, 3, IDLE_MS * 100, 1000);
         try (Socket s = new Socket(WEFT, port[3])) {
             assertEquals("404", ask(s, get("/nowhere/")));
@@ -164,8 +175,9 @@
         String chunked = "Transfer-Encoding: chunked\r\n\r\n";
         for (String body : List.of(chunked + "zz\r\n", chunked + "5\r\nab", "Content-Length: 5\r\n\r\nab")) {
             try (Socket s = new Socket(to, at)) {
-                s.getOutputStream().write(("POST " + path + " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: a\r\n"
-                        + body).getBytes(StandardCharsets.UTF_8));
+                s.getOutputStream()
+                        .write(("POST " + path + " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: a\r\n" + body)
+                                .getBytes(StandardCharsets.UTF_8));
                 s.shutdownOutput();
                 String answer = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                 assertFalse(answer.startsWith("HTTP/1.1 200"), answer);
@@ -180,13 +192,18 @@
     void aBodyOverItsBoundIsAnswered413() throws Exception {
         String head = " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: a\r\n";
         try (Socket s = new Socket(HELM, port[1])) {
-            assertEquals("413", ask(s, "POST /bramblespool/config/replace" + head + "Content-Length: " + (17 << 20) + "\r\n\r\n"));
+            assertEquals(
+                    "413",
+                    ask(s, "POST /bramblespool/config/replace" + head + "Content-Length: " + (17 << 20) + "\r\n\r\n"));
         }
         try (Socket s = new Socket(WEFT, port[3])) {
             assertEquals("413", ask(s, "POST /p3/x" + head + "Content-Length: 2000\r\n\r\n"));
         }
         // Without a length it is found out too late for an answer.
-        until(WEFT, port[3], "POST /p3/x" + head + "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + "x".repeat(2000)
-                + "\r\n0\r\n\r\n", "closed");
+        until(
+                WEFT,
+                port[3],
+                "POST /p3/x" + head + "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + "x".repeat(2000) + "\r\n0\r\n\r\n",
+                "closed");
     }
 }
--- a/src/test/java/bramblespool/MajorityTest.java
+++ b/src/test/java/bramblespool/MajorityTest.java
@@ -93,9 +93,15 @@
     void theKnownLeaderLapses() {
         SimMesh mesh = mesh(3, 3, 1);
         String old = leader(mesh);
-        HelmCore other = mesh.helms.values().stream().filter(h -> !h.raft.leads()).findFirst().orElseThrow();
+        HelmCore other = mesh.helms.values().stream()
+                .filter(h -> !h.raft.leads())
+                .findFirst()
+                .orElseThrow();
         assertNotNull(other.raft.leaderControl());
-        mesh.helms.keySet().stream().filter(h -> mesh.helms.get(h) != other).toList().forEach(h -> mesh.killHelm(h, true));
+        mesh.helms.keySet().stream()
+                .filter(h -> mesh.helms.get(h) != other)
+                .toList()
+                .forEach(h -> mesh.killHelm(h, true));
         mesh.world.run(2000);
         assertEquals(null, other.raft.leaderControl(), old + " is no longer known to lead");
     }
@@ -117,16 +123,20 @@
                 for (long seed = 1; seed <= 4 * SEEDS; seed++) {
                     borne += bears(seed, later, leaderFirst) ? 1 : 0;
                 }
-                System.out.printf("%s lost, the next leader %4d ms later: borne in %d of %d%n", leaderFirst ? "leader" : "voter", later,
-                        borne, 4 * SEEDS);
+                System.out.printf(
+                        "%s lost, the next leader %4d ms later: borne in %d of %d%n",
+                        leaderFirst ? "leader" : "voter", later, borne, 4 * SEEDS);
             }
         }
     }
 
     private static boolean bears(long seed, long later, boolean leaderFirst) {
         SimMesh mesh = mesh(seed, 4, 1);
-        String first = mesh.leader().raft.voters().stream().map(Raft::addressOf)
-                .filter(v -> v.equals(leader(mesh)) == leaderFirst).findFirst().orElseThrow();
+        String first = mesh.leader().raft.voters().stream()
+                .map(Raft::addressOf)
+                .filter(v -> v.equals(leader(mesh)) == leaderFirst)
+                .findFirst()
+                .orElseThrow();
         mesh.killHelm(first, true);
         mesh.world.run(later);
         String next = mesh.leader() == null ? mesh.helms.keySet().iterator().next() : leader(mesh);
@@ -143,7 +153,9 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimMesh mesh = mesh(seed, helms, losses);
             for (int turn = 0; turn < 4; turn++) {
-                List<String> lost = new ArrayList<>(mesh.leader().raft.voters().stream().map(Raft::addressOf).toList());
+                List<String> lost = new ArrayList<>(mesh.leader().raft.voters().stream()
+                        .map(Raft::addressOf)
+                        .toList());
                 java.util.Collections.shuffle(lost, mesh.world.random);
                 lost.subList(losses, lost.size()).clear();
                 for (String h : lost) {
@@ -164,12 +176,20 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void whoWasReplacedWhileItWasAwayFollowsAgain(long seed) {
         SimMesh mesh = mesh(seed, 4, 1);
-        String away = mesh.leader().raft.voters().stream().map(Raft::addressOf).filter(v -> !v.equals(leader(mesh))).findFirst()
+        String away = mesh.leader().raft.voters().stream()
+                .map(Raft::addressOf)
+                .filter(v -> !v.equals(leader(mesh)))
+                .findFirst()
                 .orElseThrow();
         mesh.world.isolate(away, true);
         mesh.world.run(20_000);
         assertEquals(200, order(mesh, 6, 5).status());
-        assertFalse(mesh.leader().raft.voters().stream().map(Raft::addressOf).toList().contains(away), "its place is taken");
+        assertFalse(
+                mesh.leader().raft.voters().stream()
+                        .map(Raft::addressOf)
+                        .toList()
+                        .contains(away),
+                "its place is taken");
         mesh.world.isolate(away, false);
         mesh.world.run(3000);
         assertEquals(6, mesh.helms.get(away).ledger().current().epoch());
@@ -184,8 +204,11 @@
     void whoLeavesHandsOverFirst(int helms, boolean leads) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimMesh mesh = mesh(seed, helms, 1);
-            String leaver = mesh.leader().raft.voters().stream().map(Raft::addressOf).filter(v -> v.equals(leader(mesh)) == leads)
-                    .findFirst().orElseThrow();
+            String leaver = mesh.leader().raft.voters().stream()
+                    .map(Raft::addressOf)
+                    .filter(v -> v.equals(leader(mesh)) == leads)
+                    .findFirst()
+                    .orElseThrow();
             HelmCore h = mesh.helms.get(leaver);
             long term = mesh.leader().raft.term();
             h.leave();
@@ -198,7 +221,12 @@
             mesh.world.machine(leaver).disk.wipe();
             assertEquals(200, order(mesh, 6, 5).status(), "no pause, seed " + seed);
             if (helms == 4) {
-                assertFalse(mesh.leader().raft.voters().stream().map(Raft::addressOf).toList().contains(leaver), "seed " + seed);
+                assertFalse(
+                        mesh.leader().raft.voters().stream()
+                                .map(Raft::addressOf)
+                                .toList()
+                                .contains(leaver),
+                        "seed " + seed);
                 // The group bears the next loss at once.
                 mesh.killHelm(leader(mesh), true);
                 mesh.world.run(3000);
@@ -224,7 +252,9 @@
         }
         mesh.world.run(50);
         assertTrue(mesh.leader().ledger().phase() != Ledger.Phase.MARKED, "phases are still to come");
-        assertEquals(List.of(200, 200, 412, 412, 412, 412, 412, 412, 412), said.stream().sorted().toList());
+        assertEquals(
+                List.of(200, 200, 412, 412, 412, 412, 412, 412, 412),
+                said.stream().sorted().toList());
     }
 
     /** The opposite of what is in force is under way: a repeat of the first order comes after it, and counts. */
--- a/src/test/java/bramblespool/MeteringTest.java
+++ b/src/test/java/bramblespool/MeteringTest.java
@@ -63,19 +63,23 @@
     }
 
     private void check(String what) {
-        platform.accepted.forEach((w, r) -> assertTrue(!r.contains(" AND "), what + ": two reports of window " + w + ": " + r));
+        platform.accepted.forEach(
+                (w, r) -> assertTrue(!r.contains(" AND "), what + ": two reports of window " + w + ": " + r));
         Map<Long, String> holders = new HashMap<>();
         String before = "";
         long beforeAt = 0;
         String last = "";
         long lastAt = 0;
         for (SimPlatform.Call c : platform.reports) {
-            assertEquals(c.holder(), holders.computeIfAbsent(c.fence(), f -> c.holder()), what + ": one holder to a fence");
+            assertEquals(
+                    c.holder(), holders.computeIfAbsent(c.fence(), f -> c.holder()), what + ": one holder to a fence");
             if (c.code() != 200) {
                 continue;
             }
             if (!c.holder().equals(last)) {
-                assertTrue(!c.holder().equals(before) || c.at() - beforeAt > LEASE, what + ": " + before + ", " + last + " and back");
+                assertTrue(
+                        !c.holder().equals(before) || c.at() - beforeAt > LEASE,
+                        what + ": " + before + ", " + last + " and back");
                 before = last;
                 beforeAt = lastAt;
             }
@@ -186,9 +190,13 @@
         long wipedAt = -100_000;
         for (int step = 0; step < 220; step++) {
             int what = random.nextInt(100);
-            String holder = platform.reports.isEmpty() ? "" : platform.reports.get(platform.reports.size() - 1).holder();
+            String holder = platform.reports.isEmpty()
+                    ? ""
+                    : platform.reports.get(platform.reports.size() - 1).holder();
             // Mostly whoever acted last.
-            int i = holder.startsWith("helm-") && random.nextInt(3) > 0 ? Integer.parseInt(holder.substring(5)) - 1 : random.nextInt(4);
+            int i = holder.startsWith("helm-") && random.nextInt(3) > 0
+                    ? Integer.parseInt(holder.substring(5)) - 1
+                    : random.nextInt(4);
             String peer = SimMesh.helmPeer(i);
             if (what < 6 && down.isEmpty() && mesh.helms.containsKey(peer)) {
                 mesh.killHelm(peer, random.nextBoolean());
@@ -235,7 +243,10 @@
         run(25_000);
         check("seed " + seed);
         long end = now() / WINDOW;
-        List<Long> late = IntStream.range(3, 5).mapToObj(n -> end - n).filter(w -> !platform.accepted.containsKey(w)).toList();
+        List<Long> late = IntStream.range(3, 5)
+                .mapToObj(n -> end - n)
+                .filter(w -> !platform.accepted.containsKey(w))
+                .toList();
         assertTrue(late.isEmpty(), "seed " + seed + ": once all is well windows are reported again, but for " + late);
     }
 }
--- a/src/test/java/bramblespool/OperationTest.java
+++ b/src/test/java/bramblespool/OperationTest.java
@@ -30,6 +30,7 @@
     private Random random;
     /** What reached a server, by key, and the answer of the first that was answered. */
     private final Map<String, Integer> runs = new HashMap<>();
+
     private final Map<String, String> answers = new HashMap<>();
     private int served;
     private int repeated;
@@ -51,44 +52,50 @@
             return;
         }
         SimWorld.Machine m = mesh.world.machine(SimMesh.weftPeer(at));
-        new Entry(w, Log.silent()).enter(new Entry.Who("t", null, 1, w.admission.register("t", key), key.hashCode()), 400,
-                new Entry.Taker() {
-                    @Override
-                    public void go(Operations.Operation o) {
-                        int what = random.nextInt(10);
-                        if (what < 2) {
-                            w.operations.idle(o);
-                            told.accept(503);
-                            return;
-                        }
-                        runs.merge(key, 1, Integer::sum);
-                        // The answer, if any, comes while this process lives.
-                        m.after(20 + random.nextInt(200), () -> {
-                            if (what < 3) {
-                                w.operations.unknown(o);
-                                told.accept(502);
-                            } else {
-                                String body = key + " " + mesh.world.now();
-                                answers.putIfAbsent(key, body);
-                                w.operations.answered(o, new Operations.Answer(200, List.of("X-Server-Seal", "s"), body.getBytes()));
-                                served++;
-                                told.accept(200);
+        new Entry(w, Log.silent())
+                .enter(
+                        new Entry.Who("t", null, 1, w.admission.register("t", key), key.hashCode()),
+                        400,
+                        new Entry.Taker() {
+                            @Override
+                            public void go(Operations.Operation o) {
+                                int what = random.nextInt(10);
+                                if (what < 2) {
+                                    w.operations.idle(o);
+                                    told.accept(503);
+                                    return;
+                                }
+                                runs.merge(key, 1, Integer::sum);
+                                // The answer, if any, comes while this process lives.
+                                m.after(20 + random.nextInt(200), () -> {
+                                    if (what < 3) {
+                                        w.operations.unknown(o);
+                                        told.accept(502);
+                                    } else {
+                                        String body = key + " " + mesh.world.now();
+                                        answers.putIfAbsent(key, body);
+                                        w.operations.answered(
+                                                o,
+                                                new Operations.Answer(
+                                                        200, List.of("X-Server-Seal", "s"), body.getBytes()));
+                                        served++;
+                                        told.accept(200);
+                                    }
+                                });
                             }
-                        });
-                    }
 
-                    @Override
-                    public void refuse(int status, long retryMs, String why) {
-                        told.accept(status);
-                    }
+                            @Override
+                            public void refuse(int status, long retryMs, String why) {
+                                told.accept(status);
+                            }
 
-                    @Override
-                    public void answer(Operations.Answer a) {
-                        repeated++;
-                        assertEquals(answers.get(key), new String(a.body()), "a repeat gets the first answer");
-                        told.accept(200);
-                    }
-                });
+                            @Override
+                            public void answer(Operations.Answer a) {
+                                repeated++;
+                                assertEquals(answers.get(key), new String(a.body()), "a repeat gets the first answer");
+                                told.accept(200);
+                            }
+                        });
     }
 
     /** Tries again after whatever it is told, and after a silence, sometimes elsewhere; and once more when it was served. */
@@ -100,7 +107,9 @@
         java.util.function.IntConsumer next = status -> {
             if (!heard[0]) {
                 heard[0] = true;
-                mesh.world.at(random.nextInt(150), () -> client(key, random.nextInt(3) > 0 ? at : random.nextInt(SIDES), left - 1));
+                mesh.world.at(
+                        random.nextInt(150),
+                        () -> client(key, random.nextInt(3) > 0 ? at : random.nextInt(SIDES), left - 1));
             }
         };
         attempt(at, key, next);
@@ -216,28 +225,31 @@
             return;
         }
         asked++;
-        new Entry(w, Log.silent()).enter(new Entry.Who(tenant, new Config.Tenant(tenant, -1, rate, BURST), 1, null, 0), 300,
-                new Entry.Taker() {
-                    @Override
-                    public void go(Operations.Operation o) {
-                        if (tenant.equals("hot")) {
-                            grants.add(mesh.world.now());
-                        }
-                    }
+        new Entry(w, Log.silent())
+                .enter(
+                        new Entry.Who(tenant, new Config.Tenant(tenant, -1, rate, BURST), 1, null, 0),
+                        300,
+                        new Entry.Taker() {
+                            @Override
+                            public void go(Operations.Operation o) {
+                                if (tenant.equals("hot")) {
+                                    grants.add(mesh.world.now());
+                                }
+                            }
 
-                    @Override
-                    public void refuse(int status, long retryMs, String why) {
-                        refused.run();
-                    }
+                            @Override
+                            public void refuse(int status, long retryMs, String why) {
+                                refused.run();
+                            }
 
-                    @Override
-                    public void answer(Operations.Answer a) {
-                    }
-                });
+                            @Override
+                            public void answer(Operations.Answer a) {}
+                        });
     }
 
     /** After how long without a new fault, and with one helm at most still faulty, the others have settled. */
     private static final int SETTLES_MS = 1500;
+
     private static final int STEP_MS = 20;
 
     /** One tenant sends ten times its limit from everywhere while helms die, are cut off, stand still and come back. */
@@ -254,7 +266,7 @@
         for (int step = 0; step < 2800; step++) {
             int before = grants.size();
             for (int i = 0; i < 8; i++) {
-                ask(random.nextInt(SIDES), "hot", RATE, () -> { });
+                ask(random.nextInt(SIDES), "hot", RATE, () -> {});
             }
             // The end is quiet.
             int what = step < 2500 ? random.nextInt(500) : step == 2500 ? 9 : step == 2501 ? 19 : 500;
@@ -280,7 +292,9 @@
             mesh.world.run(STEP_MS);
             Set<String> ill = new HashSet<>(down);
             ill.addAll(cut);
-            IntStream.range(0, 4).filter(i -> frozenUntil[i] > mesh.world.now()).forEach(i -> ill.add(SimMesh.helmPeer(i)));
+            IntStream.range(0, 4)
+                    .filter(i -> frozenUntil[i] > mesh.world.now())
+                    .forEach(i -> ill.add(SimMesh.helmPeer(i)));
             if (what < 24 || ill.size() > 1) {
                 shakenAt = mesh.world.now();
             }
@@ -295,10 +309,13 @@
             while (grants.get(to) - grants.get(from) > 5000) {
                 from++;
             }
-            assertTrue(to - from + 1 <= most, "seed " + seed + ": " + (to - from + 1) + " in a window, at most " + most);
+            assertTrue(
+                    to - from + 1 <= most, "seed " + seed + ": " + (to - from + 1) + " in a window, at most " + most);
         }
         // Whatever else happens: with all helms but one well for a while, who asks for more than all gets all there is.
-        assertTrue(calmGrants > RATE * calmSteps * STEP_MS / 1000 * 0.9, "seed " + seed + ": " + calmGrants + " in " + calmSteps + " calm steps");
+        assertTrue(
+                calmGrants > RATE * calmSteps * STEP_MS / 1000 * 0.9,
+                "seed " + seed + ": " + calmGrants + " in " + calmSteps + " calm steps");
     }
 
     /** A tenant below its limit is served wherever it asks; and while the owner of its slice dies, mostly. */
@@ -320,7 +337,9 @@
                 }
                 mesh.world.run(20);
             }
-            assertTrue(refusedBelow <= asked * (phase == 0 ? 0.01 : 0.1), phase + ": " + refusedBelow + " of " + asked + " refused");
+            assertTrue(
+                    refusedBelow <= asked * (phase == 0 ? 0.01 : 0.1),
+                    phase + ": " + refusedBelow + " of " + asked + " refused");
         }
     }
 }
--- a/src/test/java/bramblespool/RegisterTest.java
+++ b/src/test/java/bramblespool/RegisterTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.HelmCore;
-import bramblespool.coordination.Registers;
 import bramblespool.coordination.Registers.Outcome;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
@@ -15,11 +14,11 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import java.util.stream.IntStream;
 
 /** The registers under losses: histories are checked for linearizability, and that what was claimed is never lost. */
 class RegisterTest {
@@ -88,12 +87,17 @@
     @Test
     void theCheckerTellsHistoriesApart() {
         assertTrue(linearizable(history("a", null, 0, 5, Outcome.WON, "b", "a", 6, 9, Outcome.WON)));
-        assertTrue(!linearizable(history("a", null, 0, 5, Outcome.WON, "b", null, 6, 9, Outcome.WON)), "two claims won");
-        assertTrue(!linearizable(history("b", "a", 0, 5, Outcome.WON, "a", null, 6, 9, Outcome.WON)), "in the wrong order");
-        assertTrue(linearizable(history("a", null, 0, 5, Outcome.UNSURE, "b", "a", 6, 9, Outcome.WON,
-                "c", "b", 10, 12, Outcome.WON)));
-        assertTrue(!linearizable(history("a", null, 0, 5, Outcome.UNSURE, "b", null, 6, 9, Outcome.WON,
-                "c", "a", 10, 12, Outcome.WON)), "an unsure one cannot have come between what it does not fit");
+        assertTrue(
+                !linearizable(history("a", null, 0, 5, Outcome.WON, "b", null, 6, 9, Outcome.WON)), "two claims won");
+        assertTrue(
+                !linearizable(history("b", "a", 0, 5, Outcome.WON, "a", null, 6, 9, Outcome.WON)),
+                "in the wrong order");
+        assertTrue(linearizable(
+                history("a", null, 0, 5, Outcome.UNSURE, "b", "a", 6, 9, Outcome.WON, "c", "b", 10, 12, Outcome.WON)));
+        assertTrue(
+                !linearizable(history(
+                        "a", null, 0, 5, Outcome.UNSURE, "b", null, 6, 9, Outcome.WON, "c", "a", 10, 12, Outcome.WON)),
+                "an unsure one cannot have come between what it does not fit");
     }
 
     private final Map<String, List<Op>> histories = new HashMap<>();
@@ -121,7 +125,8 @@
         Random random = new Random(seed);
         mesh = new SimMesh(seed, 3 + seed % 3, 0);
         mesh.world.run(4000);
-        List<String> peers = IntStream.range(0, 3 + seed % 3).mapToObj(SimMesh::helmPeer).toList();
+        List<String> peers =
+                IntStream.range(0, 3 + seed % 3).mapToObj(SimMesh::helmPeer).toList();
         Map<String, String> given = new HashMap<>();
         Set<String> down = new HashSet<>();
         long wipedAt = -100_000;
@@ -173,8 +178,13 @@
         long won = 0;
         for (Map.Entry<String, List<Op>> h : histories.entrySet()) {
             won += h.getValue().stream().filter(o -> o.outcome == Outcome.WON).count();
-            assertTrue(linearizable(h.getValue()), () -> "seed " + seed + ", " + h.getKey() + ": " + h.getValue().stream()
-                    .map(o -> o.value + " for " + o.instead + " " + o.outcome + " " + o.from + "-" + o.to).toList());
+            assertTrue(
+                    linearizable(h.getValue()),
+                    () -> "seed " + seed + ", " + h.getKey() + ": "
+                            + h.getValue().stream()
+                                    .map(o ->
+                                            o.value + " for " + o.instead + " " + o.outcome + " " + o.from + "-" + o.to)
+                                    .toList());
         }
         assertTrue(won > 3, "seed " + seed + ": only " + won + " were won at all");
     }
@@ -242,7 +252,12 @@
         mesh.helms.values().forEach(h -> {
             long before = mesh.world.messages;
             boolean[] won = new boolean[1];
-            h.registers.set("5/k" + mesh.helms.size() + h.raft.self(), "a", null, 400, r -> won[0] = r.outcome() == Outcome.WON);
+            h.registers.set(
+                    "5/k" + mesh.helms.size() + h.raft.self(),
+                    "a",
+                    null,
+                    400,
+                    r -> won[0] = r.outcome() == Outcome.WON);
             mesh.world.run(60);
             assertTrue(won[0]);
             least[0] = Math.min(least[0], mesh.world.messages - before);
--- a/src/test/java/bramblespool/TermTest.java
+++ b/src/test/java/bramblespool/TermTest.java
@@ -11,7 +11,6 @@
 import bramblespool.raft.Raft;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
-import bramblespool.sim.SimWorld;
 import bramblespool.state.Config;
 import bramblespool.state.Ledger;
 import bramblespool.state.Packed;
@@ -93,7 +92,9 @@
     private static void settle(SimMesh mesh) {
         for (int i = 0; i < 400; i++) {
             HelmCore l = mesh.leader();
-            if (l != null && l.ledger().candidate() == null && l.ledger().phase() == Ledger.Phase.MARKED
+            if (l != null
+                    && l.ledger().candidate() == null
+                    && l.ledger().phase() == Ledger.Phase.MARKED
                     && mesh.wefts.values().stream().allMatch(WeftCore::sessionOpen)) {
                 break;
             }
@@ -103,7 +104,9 @@
     }
 
     static Stream<Arguments> phases() {
-        return IntStream.rangeClosed(0, 4).boxed().flatMap(p -> IntStream.range(0, 16).mapToObj(s -> Arguments.of(p, 300L + s)));
+        return IntStream.rangeClosed(0, 4)
+                .boxed()
+                .flatMap(p -> IntStream.range(0, 16).mapToObj(s -> Arguments.of(p, 300L + s)));
     }
 
     /**
@@ -120,7 +123,7 @@
         String away = SimMesh.weftPeer(r.nextInt(6));
         // A candidate is taken back only where somebody is silent.
         mesh.world.isolate(away, phase == 0);
-        mesh.order(SimMesh.change(7, 5, "lost"), o -> { });
+        mesh.order(SimMesh.change(7, 5, "lost"), o -> {});
         for (int i = 0; i < 2000 && kept.isEmpty(); i++) {
             mesh.world.run(1);
         }
@@ -181,7 +184,7 @@
         List<Runnable> kept = late(mesh, leader(mesh), 0, 7);
         String away = SimMesh.weftPeer(mesh.world.random.nextInt(6));
         mesh.world.isolate(away, true);
-        mesh.order(SimMesh.change(7, 5, "two"), o -> { });
+        mesh.order(SimMesh.change(7, 5, "two"), o -> {});
         for (int i = 0; i < 2000 && kept.isEmpty(); i++) {
             mesh.world.run(1);
         }
@@ -196,7 +199,9 @@
         };
         mesh.world.run(3000);
         assertTrue(second[0] > 0);
-        assertEquals(Set.of(status(mesh, away).path("node").asText()), mesh.leader().commit.unconfirmed());
+        assertEquals(
+                Set.of(status(mesh, away).path("node").asText()),
+                mesh.leader().commit.unconfirmed());
     }
 
     /**
@@ -237,8 +242,8 @@
             mesh.world.afterEach = () -> {
                 there[0] |= w.sessionOpen() && w.helm().equals(cut);
                 if (w.ready() && (w.shadow.epoch() < 6 || !w.fleet.evacuated("b"))) {
-                    broken.add(peer + " ready with " + w.shadow.epoch() + ", evacuated " + w.fleet.evacuated("b") + " at "
-                            + mesh.world.now());
+                    broken.add(peer + " ready with " + w.shadow.epoch() + ", evacuated " + w.fleet.evacuated("b")
+                            + " at " + mesh.world.now());
                 }
             };
             mesh.world.run(QUIET);
@@ -257,7 +262,10 @@
     void aSideThatStartsAroundTheCutIsCurrentWithinQuiet(long seed) {
         SimMesh mesh = mesh(seed, 4, 8);
         Random r = mesh.world.random;
-        String cut = mesh.helms.keySet().stream().filter(h -> seed % 2 == 0 || !h.equals(leader(mesh))).findFirst().orElseThrow();
+        String cut = mesh.helms.keySet().stream()
+                .filter(h -> seed % 2 == 0 || !h.equals(leader(mesh)))
+                .findFirst()
+                .orElseThrow();
         int i = Integer.parseInt(cut.substring(cut.lastIndexOf('.') + 1, cut.indexOf(':'))) - 1;
         String peer = SimMesh.weftPeer(i);
         mesh.world.isolate(cut, true);
@@ -300,7 +308,16 @@
         SimMesh mesh = mesh(seed, 3, 6);
         String peer = SimMesh.weftPeer(mesh.world.random.nextInt(6));
         long high = mesh.leader().raft.term() + 50;
-        ask(mesh, peer, "phase", JsonNodeFactory.instance.objectNode().put("phase", 4).put("term", high).put("round", 9).put("new", 1));
+        ask(
+                mesh,
+                peer,
+                "phase",
+                JsonNodeFactory.instance
+                        .objectNode()
+                        .put("phase", 4)
+                        .put("term", high)
+                        .put("round", 9)
+                        .put("new", 1));
         assertEquals(high, status(mesh, peer).path("term").asLong());
         assertEquals(200, order(mesh, 6, 5, "two").status());
         settle(mesh);
@@ -318,8 +335,15 @@
         mesh.world.run(5000);
         long now = mesh.leader().raft.term();
         assertTrue(now > term);
-        ObjectNode m = JsonNodeFactory.instance.objectNode().put("phase", 1).put("term", term).put("round", 1000).put("old", 5)
-                .put("new", 6).put("within", 200).put("doc", document(6, "late").packed);
+        ObjectNode m = JsonNodeFactory.instance
+                .objectNode()
+                .put("phase", 1)
+                .put("term", term)
+                .put("round", 1000)
+                .put("old", 5)
+                .put("new", 6)
+                .put("within", 200)
+                .put("doc", document(6, "late").packed);
         ArrayNode wefts = m.putArray("wefts");
         mesh.wefts.forEach((p, w) -> wefts.add(status(mesh, p).path("node").asText()));
         int[] handed = new int[1];
@@ -363,7 +387,10 @@
         long[] led = new long[1];
         List<String> broken = new ArrayList<>();
         mesh.world.afterEach = () -> {
-            mesh.helms.values().forEach(h -> led[0] = Math.max(led[0], h.raft.self().equals(h.raft.leaderId()) ? h.raft.term() : 0));
+            mesh.helms
+                    .values()
+                    .forEach(h ->
+                            led[0] = Math.max(led[0], h.raft.self().equals(h.raft.leaderId()) ? h.raft.term() : 0));
             mesh.wefts.keySet().forEach(p -> {
                 long known = status(mesh, p).path("term").asLong();
                 if (known > led[0]) {
@@ -374,7 +401,7 @@
         for (int round = 0; round < 12; round++) {
             HelmCore l = mesh.leader();
             long base = l.ledger().current().epoch();
-            mesh.order(SimMesh.change(base + 1, base, "p" + round), o -> { });
+            mesh.order(SimMesh.change(base + 1, base, "p" + round), o -> {});
             mesh.world.run(r.nextInt(200));
             String peer = r.nextBoolean() ? leader(mesh) : SimMesh.helmPeer(r.nextInt(helms));
             switch (r.nextInt(4)) {
@@ -402,9 +429,15 @@
             assertEquals(List.of(), broken.stream().limit(3).toList(), "round " + round);
             assertNotNull(mesh.leader(), "round " + round);
             long term = mesh.leader().raft.term();
-            mesh.wefts.keySet().forEach(p -> assertTrue(status(mesh, p).path("term").asLong() <= term, p));
+            mesh.wefts
+                    .keySet()
+                    .forEach(p -> assertTrue(status(mesh, p).path("term").asLong() <= term, p));
             settle(mesh);
-            commits(mesh, mesh.leader().ledger().current().epoch() + 1, mesh.leader().ledger().current().epoch(), List.of());
+            commits(
+                    mesh,
+                    mesh.leader().ledger().current().epoch() + 1,
+                    mesh.leader().ledger().current().epoch(),
+                    List.of());
         }
     }
 
@@ -419,13 +452,17 @@
         List<String> broken = new ArrayList<>();
         mesh.world.afterEach = () -> mesh.wefts.forEach((p, w) -> {
             long e = w.shadow.epoch();
-            if (e < highest.getOrDefault(w, 0L) || !w.shadow.real().stamp.equals(inForce.computeIfAbsent(e, k -> w.shadow.real().stamp))) {
+            if (e < highest.getOrDefault(w, 0L)
+                    || !w.shadow.real().stamp.equals(inForce.computeIfAbsent(e, k -> w.shadow.real().stamp))) {
                 broken.add(p + " has " + e + " of " + w.shadow.real().stamp);
             }
             highest.put(w, e);
         });
         String old = leader(mesh);
-        String cell = mesh.helms.keySet().stream().filter(h -> !h.equals(old)).findFirst().orElseThrow();
+        String cell = mesh.helms.keySet().stream()
+                .filter(h -> !h.equals(old))
+                .findFirst()
+                .orElseThrow();
         String away = SimMesh.weftPeer(r.nextInt(6));
         mesh.world.isolate(away, phase == 0);
         int[] frozen = new int[1];
@@ -435,7 +472,7 @@
             }
             return false;
         };
-        mesh.order(SimMesh.change(7, 5, "lost"), o -> { });
+        mesh.order(SimMesh.change(7, 5, "lost"), o -> {});
         for (int i = 0; i < 2000 && frozen[0] == 0; i++) {
             mesh.world.run(1);
         }
@@ -450,7 +487,7 @@
             mesh.world.run(50);
         }
         long base = mesh.leader().ledger().current().epoch();
-        mesh.order(SimMesh.change(8, base, "won"), o -> { });
+        mesh.order(SimMesh.change(8, base, "won"), o -> {});
         mesh.world.run(4000);
         settle(mesh);
         assertEquals(List.of(), broken);
@@ -469,7 +506,8 @@
         mesh.leader().evacuate("b", true, a -> ok[0] = a);
         mesh.world.run(1000);
         String cut = r.nextBoolean() ? leader(mesh) : SimMesh.helmPeer(r.nextInt(4));
-        List<String> with = mesh.wefts.keySet().stream().filter(p -> r.nextInt(3) == 0).toList();
+        List<String> with =
+                mesh.wefts.keySet().stream().filter(p -> r.nextInt(3) == 0).toList();
         mesh.world.isolate(cut, true);
         with.forEach(p -> mesh.world.isolate(p, true));
         with.forEach(p -> {
@@ -483,7 +521,10 @@
         assertTrue(ok[0] && ok[1]);
         List<String> broken = new ArrayList<>();
         mesh.world.afterEach = () -> mesh.wefts.forEach((p, w) -> {
-            if (!with.contains(p) && (w.shadow.epoch() < 6 || w.fleet.evacuated("b") || w.news.get("order").life() < 6)) {
+            if (!with.contains(p)
+                    && (w.shadow.epoch() < 6
+                            || w.fleet.evacuated("b")
+                            || w.news.get("order").life() < 6)) {
                 broken.add(p + " has " + w.shadow.epoch() + ", evacuated " + w.fleet.evacuated("b"));
             }
         });
@@ -500,7 +541,8 @@
         SimMesh mesh = mesh(4, 3, 4);
         String stamp = mesh.wefts.get(SimMesh.weftPeer(0)).shadow.real().stamp;
         ObjectNode right = JsonNodeFactory.instance.objectNode().put("epoch", 5).put("stamp", stamp);
-        ObjectNode wrong = JsonNodeFactory.instance.objectNode().put("epoch", 5).put("stamp", document(5, "rival").stamp);
+        ObjectNode wrong =
+                JsonNodeFactory.instance.objectNode().put("epoch", 5).put("stamp", document(5, "rival").stamp);
         for (String peer : List.of(SimMesh.helmPeer(0), SimMesh.weftPeer(0))) {
             assertTrue(ask(mesh, peer, "doc", right).path("doc").isTextual(), peer);
             assertFalse(ask(mesh, peer, "doc", wrong) instanceof ObjectNode, peer);
@@ -597,7 +639,9 @@
         platform.answer = () -> mesh.leader().ledger().duties().get("usage").fence() == fence ? 409 : null;
         mesh.world.run(30_000);
         assertTrue(platform.reports.stream().anyMatch(c -> c.code() == 409));
-        assertTrue(mesh.leader().ledger().duties().get("usage").fence() > fence, "a higher fence, " + lost[0] + " words for it");
+        assertTrue(
+                mesh.leader().ledger().duties().get("usage").fence() > fence,
+                "a higher fence, " + lost[0] + " words for it");
     }
 
     /** Who hears of a higher term while a commit of its own is under way says no further phase, in whichever one it was. */
@@ -615,12 +659,13 @@
             if (from.equals(old) && kind.equals("cell")) {
                 said[0] += m.path("phase").asInt() == phase ? 1 : 0;
                 if (!deposed.raft.leads()) {
-                    broken.add("phase " + m.path("phase").asInt() + " in term " + m.path("term").asLong());
+                    broken.add("phase " + m.path("phase").asInt() + " in term "
+                            + m.path("term").asLong());
                 }
             }
             return false;
         };
-        mesh.order(SimMesh.change(7, 5, "two"), o -> { });
+        mesh.order(SimMesh.change(7, 5, "two"), o -> {});
         for (int i = 0; i < 2000 && said[0] == 0; i++) {
             mesh.world.run(1);
         }
@@ -640,7 +685,11 @@
         long fence = mesh.leader().ledger().duties().get("usage").fence();
         long term = mesh.leader().raft.term();
         ObjectNode m = JsonNodeFactory.instance.objectNode().put("key", "usage").put("fence", fence);
-        assertEquals(term, ask(mesh, leader(mesh), "raise", m.put("term", term - 1)).path("term").asLong());
+        assertEquals(
+                term,
+                ask(mesh, leader(mesh), "raise", m.put("term", term - 1))
+                        .path("term")
+                        .asLong());
         mesh.world.run(1000);
         assertEquals(fence, mesh.leader().ledger().duties().get("usage").fence());
         ask(mesh, leader(mesh), "raise", m.put("term", term));
--- a/src/test/java/bramblespool/coordination/Neighbour.java
+++ b/src/test/java/bramblespool/coordination/Neighbour.java
@@ -4,12 +4,14 @@
 
 /** Names of tenants that are counted together, for tests. */
 public final class Neighbour {
-    private Neighbour() {
-    }
+    private Neighbour() {}
 
     /** Another tenant in the slice of that one: whoever owns the one's bucket owns the other's. */
     public static String of(String tenant) {
-        return IntStream.iterate(0, i -> i + 1).mapToObj(i -> "near" + i)
-                .filter(t -> Admission.slice(t).equals(Admission.slice(tenant))).findFirst().orElseThrow();
+        return IntStream.iterate(0, i -> i + 1)
+                .mapToObj(i -> "near" + i)
+                .filter(t -> Admission.slice(t).equals(Admission.slice(tenant)))
+                .findFirst()
+                .orElseThrow();
     }
 }
--- a/src/test/java/bramblespool/model/Door.java
+++ b/src/test/java/bramblespool/model/Door.java
@@ -34,12 +34,16 @@
             return;
         }
         switch (m.path("do").asText()) {
-            case "read" -> helm.read(v -> {
-                if (v != null) {
-                    play.history.read(v.epoch(), m.path("began").asLong(), play.step());
-                }
-                answer.accept(v == null ? status(503) : status(v.packed() == null ? 404 : 200).put("current", v.epoch()));
-            });
+            case "read" ->
+                helm.read(v -> {
+                    if (v != null) {
+                        play.history.read(v.epoch(), m.path("began").asLong(), play.step());
+                    }
+                    answer.accept(
+                            v == null
+                                    ? status(503)
+                                    : status(v.packed() == null ? 404 : 200).put("current", v.epoch()));
+                });
             case "evacuate" -> {
                 String zone = m.path("zone").asText();
                 boolean on = m.path("on").asBoolean();
--- a/src/test/java/bramblespool/model/Draw.java
+++ b/src/test/java/bramblespool/model/Draw.java
@@ -26,8 +26,22 @@
         MIX
     }
 
-    private static final Kind[] LOSSES = {Kind.CUT, Kind.ISOLATE, Kind.FREEZE, Kind.KILL, Kind.POWER, Kind.WIPE, Kind.REPLACE,
-        Kind.LEAVE, Kind.SLOW_DISK, Kind.HANGING_DISK, Kind.FULL_DISK, Kind.SLOW_LINK, Kind.LINK_CUT, Kind.SPLIT};
+    private static final Kind[] LOSSES = {
+        Kind.CUT,
+        Kind.ISOLATE,
+        Kind.FREEZE,
+        Kind.KILL,
+        Kind.POWER,
+        Kind.WIPE,
+        Kind.REPLACE,
+        Kind.LEAVE,
+        Kind.SLOW_DISK,
+        Kind.HANGING_DISK,
+        Kind.FULL_DISK,
+        Kind.SLOW_LINK,
+        Kind.LINK_CUT,
+        Kind.SPLIT
+    };
     private static final int LONGEST = 20_000;
 
     private final Random r;
@@ -173,7 +187,9 @@
         long at = Schedule.CATCH_UP + r.nextInt(300);
         for (int i = 0; i < 2 + r.nextInt(3); i++) {
             for (int k = 0; k < losses; k++) {
-                Kind kind = r.nextInt(3) > 0 ? List.of(Kind.WIPE, Kind.REPLACE, Kind.LEAVE, Kind.POWER).get(r.nextInt(4))
+                Kind kind = r.nextInt(3) > 0
+                        ? List.of(Kind.WIPE, Kind.REPLACE, Kind.LEAVE, Kind.POWER)
+                                .get(r.nextInt(4))
                         : LOSSES[r.nextInt(LOSSES.length)];
                 long ms = 100 + r.nextInt(r.nextBoolean() ? 600 : 3000);
                 String who = r.nextInt(2) == 0 ? who() : String.valueOf(1 + r.nextInt(helms + i));
@@ -207,20 +223,37 @@
     private void away() {
         long at = Schedule.CATCH_UP + r.nextInt(300);
         int changes = r.nextInt(12) == 0 ? 200 : 34 + r.nextInt(40);
-        Kind kind = List.of(Kind.KILL, Kind.POWER, Kind.CUT, Kind.FREEZE, Kind.WIPE, Kind.REPLACE, Kind.SLOW_DISK, Kind.SLOW_LINK)
+        Kind kind = List.of(
+                        Kind.KILL,
+                        Kind.POWER,
+                        Kind.CUT,
+                        Kind.FREEZE,
+                        Kind.WIPE,
+                        Kind.REPLACE,
+                        Kind.SLOW_DISK,
+                        Kind.SLOW_LINK)
                 .get(r.nextInt(8));
         long ms = 2000 + r.nextInt(changes > 100 ? 18_000 : 7000);
         loss(at, kind, r.nextInt(4) == 0 ? "L" : "F", ms);
         add(at + r.nextInt(400), Kind.MANY, "?", 0, changes);
         if (r.nextInt(3) == 0) {
-            add(at + ms + r.nextInt(600), r.nextBoolean() ? Kind.ALL_POWER : Kind.ALL_KILLED, "-", 400 + r.nextInt(600), 0);
+            add(
+                    at + ms + r.nextInt(600),
+                    r.nextBoolean() ? Kind.ALL_POWER : Kind.ALL_KILLED,
+                    "-",
+                    400 + r.nextInt(600),
+                    0);
         }
         if (r.nextBoolean()) {
             // What is sent to it as it is back comes late and twice, while more goes on.
             add(at + ms - r.nextInt(300), Kind.LOSSY, "-", 1000 + r.nextInt(2000), 5 + r.nextInt(30));
             add(at + ms - 500 + r.nextInt(500), Kind.MANY, "?", 0, 10 + r.nextInt(20));
         }
-        loss(at + ms + Schedule.CATCH_UP + r.nextInt(500), LOSSES[r.nextInt(LOSSES.length)], who(), 200 + r.nextInt(2000));
+        loss(
+                at + ms + Schedule.CATCH_UP + r.nextInt(500),
+                LOSSES[r.nextInt(LOSSES.length)],
+                who(),
+                200 + r.nextInt(2000));
         orders(at, ms + 2000, r.nextInt(3));
     }
 
@@ -254,12 +287,21 @@
     /** One misses an order and is back as all others come back, too. */
     private void late(long at) {
         long ms = 400 + r.nextInt(2000);
-        loss(at, List.of(Kind.CUT, Kind.KILL, Kind.POWER, Kind.FREEZE, Kind.LEAVE, Kind.HANGING_DISK).get(r.nextInt(6)),
-                r.nextInt(3) == 0 ? "L" : "F", ms);
+        loss(
+                at,
+                List.of(Kind.CUT, Kind.KILL, Kind.POWER, Kind.FREEZE, Kind.LEAVE, Kind.HANGING_DISK)
+                        .get(r.nextInt(6)),
+                r.nextInt(3) == 0 ? "L" : "F",
+                ms);
         order(at + r.nextInt((int) ms / 2), "L");
         order(at + r.nextInt((int) ms), "?");
         long gone = 300 + r.nextInt(500);
-        add(Math.max(at + 20, at + ms - gone + r.nextInt(200)), r.nextBoolean() ? Kind.ALL_KILLED : Kind.ALL_POWER, "-", gone, 0);
+        add(
+                Math.max(at + 20, at + ms - gone + r.nextInt(200)),
+                r.nextBoolean() ? Kind.ALL_KILLED : Kind.ALL_POWER,
+                "-",
+                gone,
+                0);
     }
 
     /** Who was long away is back, with others than the leader, as its place is given to another. */
@@ -289,7 +331,15 @@
             }
             for (int k = 0; k < 2 + r.nextInt(4); k++) {
                 long t = at + r.nextInt((int) ms + 2500);
-                Kind kind = List.of(Kind.SPLIT, Kind.SPLIT, Kind.CUT, Kind.FREEZE, Kind.KILL, Kind.POWER, Kind.LINK_CUT, Kind.HANGING_DISK)
+                Kind kind = List.of(
+                                Kind.SPLIT,
+                                Kind.SPLIT,
+                                Kind.CUT,
+                                Kind.FREEZE,
+                                Kind.KILL,
+                                Kind.POWER,
+                                Kind.LINK_CUT,
+                                Kind.HANGING_DISK)
                         .get(r.nextInt(8));
                 loss(t, kind, who(), 100 + r.nextInt(2500));
                 order(t + r.nextInt(600), to());
@@ -308,7 +358,11 @@
             long ms = 310 + r.nextInt(200);
             add(at + r.nextInt(120), r.nextBoolean() ? Kind.ALL_KILLED : Kind.ALL_POWER, "-", ms, 0);
             if (r.nextBoolean()) {
-                loss(at + r.nextInt(300), List.of(Kind.HANGING_DISK, Kind.SLOW_DISK, Kind.FREEZE, Kind.CUT).get(r.nextInt(4)), who(),
+                loss(
+                        at + r.nextInt(300),
+                        List.of(Kind.HANGING_DISK, Kind.SLOW_DISK, Kind.FREEZE, Kind.CUT)
+                                .get(r.nextInt(4)),
+                        who(),
                         200 + r.nextInt(800));
             }
             if (lossy) {
--- a/src/test/java/bramblespool/model/History.java
+++ b/src/test/java/bramblespool/model/History.java
@@ -13,6 +13,7 @@
     static final class Change {
         /** So many letters of a digest are kept in a ledger. */
         private static final int KNOWN_BY = 32;
+
         final int name;
         final long base;
         final long number;
@@ -37,8 +38,7 @@
     }
 
     /** A refusal of a change, or a read-back, of {@code number}, which began and ended at these steps. */
-    private record Seen(long began, long ended, Change refused, long number) {
-    }
+    private record Seen(long began, long ended, Change refused, long number) {}
 
     private final Map<String, Change> byDigest = new HashMap<>();
     private final Map<Long, Change> takenOn = new HashMap<>();
@@ -131,8 +131,10 @@
             }
             if (place > order.size() || place > 0 && order.get(place - 1).sent >= s.ended) {
                 String what = s.refused != null ? s.refused + " was refused" : s.number + " was read";
-                throw new Broken("Linearizable", what + " when " + (from == 0 ? 0 : order.get(from - 1).number)
-                        + " had been told as current, of " + versions.values());
+                throw new Broken(
+                        "Linearizable",
+                        what + " when " + (from == 0 ? 0 : order.get(from - 1).number)
+                                + " had been told as current, of " + versions.values());
             }
             passed.add(new long[] {s.ended, place});
         }
--- a/src/test/java/bramblespool/model/Hunt.java
+++ b/src/test/java/bramblespool/model/Hunt.java
@@ -10,11 +10,9 @@
 /** Plays schedules of many seeds, and prints each one that breaks an invariant, shortened. */
 public final class Hunt {
     /** What a seed broke. */
-    record Found(long seed, Broken broken) {
-    }
+    record Found(long seed, Broken broken) {}
 
-    private Hunt() {
-    }
+    private Hunt() {}
 
     /** {@code --from 1 --count 20000 --threads 4 --shrink 3 --theme TURNS --without REPLACE}; or {@code --play FILE}. */
     public static void main(String[] args) throws Exception {
@@ -33,16 +31,21 @@
         Draw.Theme theme = o.containsKey("--theme") ? Draw.Theme.valueOf(o.get("--theme")) : null;
         String without = o.get("--without");
         long start = System.nanoTime();
-        List<Found> found = hunt(from, count, Integer.parseInt(o.getOrDefault("--threads", "4")), Integer.MAX_VALUE, theme, without);
+        List<Found> found = hunt(
+                from, count, Integer.parseInt(o.getOrDefault("--threads", "4")), Integer.MAX_VALUE, theme, without);
         double s = (System.nanoTime() - start) / 1e9;
-        System.out.printf("%d schedules in %.0f s, %.1f a second, %d broke an invariant%n", count, s, count / s, found.size());
+        System.out.printf(
+                "%d schedules in %.0f s, %.1f a second, %d broke an invariant%n", count, s, count / s, found.size());
         Map<String, List<Found>> by = new TreeMap<>();
-        found.forEach(f -> by.computeIfAbsent(f.broken.invariant, k -> new ArrayList<>()).add(f));
+        found.forEach(f ->
+                by.computeIfAbsent(f.broken.invariant, k -> new ArrayList<>()).add(f));
         by.forEach((name, all) -> {
-            System.out.println(name + ": " + all.size() + ", seeds " + all.stream().limit(12).map(Found::seed).toList());
+            System.out.println(name + ": " + all.size() + ", seeds "
+                    + all.stream().limit(12).map(Found::seed).toList());
             all.stream().limit(shrunk).forEach(f -> {
                 System.out.println("  seed " + f.seed + " " + f.broken.getMessage());
-                Schedule small = Shrink.shrink(theme == null ? Draw.schedule(f.seed) : Draw.schedule(f.seed, theme), name);
+                Schedule small =
+                        Shrink.shrink(theme == null ? Draw.schedule(f.seed) : Draw.schedule(f.seed, theme), name);
                 System.out.println(small + "\n  -> " + Play.play(small).getMessage());
             });
         });
@@ -63,13 +66,16 @@
     }
 
     /** Plays until so many seeds have broken something; {@code theme}: of this one only, or null; {@code without}: a step's kind. */
-    static List<Found> hunt(long from, int count, int threads, int most, Draw.Theme theme, String without) throws InterruptedException {
+    static List<Found> hunt(long from, int count, int threads, int most, Draw.Theme theme, String without)
+            throws InterruptedException {
         Map<Long, Found> found = new ConcurrentHashMap<>();
         AtomicLong next = new AtomicLong(from);
         List<Thread> all = new ArrayList<>();
         for (int i = 0; i < threads; i++) {
             Thread t = new Thread(() -> {
-                for (long seed = next.getAndIncrement(); seed < from + count && found.size() < most; seed = next.getAndIncrement()) {
+                for (long seed = next.getAndIncrement();
+                        seed < from + count && found.size() < most;
+                        seed = next.getAndIncrement()) {
                     Schedule s = theme == null ? Draw.schedule(seed) : Draw.schedule(seed, theme);
                     Broken b = without != null && s.toString().contains(" " + without + " ") ? null : Play.play(s);
                     if (b != null) {
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -25,15 +25,12 @@
     /** An acknowledgement is under way for no longer than this. */
     private static final long LATELY = 1000;
 
-    private record Vote(long term, String on) {
-    }
+    private record Vote(long term, String on) {}
 
-    private record Place(long index, long term) {
-    }
+    private record Place(long index, long term) {}
 
     /** What an entry is, and the term of the one before it. */
-    private record Content(String data, long before) {
-    }
+    private record Content(String data, long before) {}
 
     private final SimMesh mesh;
     private final History history;
@@ -69,7 +66,9 @@
     /** Whoever answers yes to a vote or to entries has them on its disk. */
     @Override
     public void answered(SimWorld.Machine by, String kind, JsonNode request, JsonNode answer) {
-        boolean vote = kind.equals("vote") && !request.path("pre").asBoolean() && answer.path("ok").asBoolean();
+        boolean vote = kind.equals("vote")
+                && !request.path("pre").asBoolean()
+                && answer.path("ok").asBoolean();
         long told = RaftView.told(kind, request, answer);
         if (!vote && told == 0) {
             return;
@@ -84,7 +83,9 @@
             return;
         }
         long base = s.snapshot() == null ? 0 : s.snapshot().index();
-        long last = s.entries().isEmpty() ? base : s.entries().get(s.entries().size() - 1).index();
+        long last = s.entries().isEmpty()
+                ? base
+                : s.entries().get(s.entries().size() - 1).index();
         if (vote ? s.term() < term || !request.path("from").asText().equals(s.vote()) : last < told) {
             throw new Broken("DurableBeforeTold", member + " says yes to " + kind + " before its disk has it");
         }
@@ -122,7 +123,9 @@
         if (c.truncateFrom() > 0 && c.truncateFrom() <= before.commit() && c.snapshot() == null) {
             throw new Broken("AgreedStays", member + " drops what it held as agreed, from " + c.truncateFrom());
         }
-        if (c.snapshot() != null && before.snapshot() != null && c.snapshot().index() < before.snapshot().index()) {
+        if (c.snapshot() != null
+                && before.snapshot() != null
+                && c.snapshot().index() < before.snapshot().index()) {
             throw new Broken("AgreedStays", member + " takes an older snapshot");
         }
         if (c.snapshot() != null) {
@@ -142,10 +145,14 @@
             if (i < log.size() - c.append().size()) {
                 break;
             }
-            long termBefore = one != null ? one.term() : after.snapshot() != null ? after.snapshot().term() : -1;
+            long termBefore = one != null
+                    ? one.term()
+                    : after.snapshot() != null ? after.snapshot().term() : -1;
             Content content = new Content(e.data(), termBefore);
             Content other = entries.putIfAbsent(new Place(e.index(), e.term()), content);
-            if (other != null && (!other.data.equals(content.data) || other.before >= 0 && termBefore >= 0 && other.before != termBefore)) {
+            if (other != null
+                    && (!other.data.equals(content.data)
+                            || other.before >= 0 && termBefore >= 0 && other.before != termBefore)) {
                 throw new Broken("LogsMatch", member + " differs at " + e.index() + " of term " + e.term());
             }
         }
@@ -155,7 +162,10 @@
                 continue;
             }
             Vault.Entry known = agreed.putIfAbsent(e.index(), e);
-            if (known == e || known != null && known.equals(e) && i < log.size() - c.append().size() - 8) {
+            if (known == e
+                    || known != null
+                            && known.equals(e)
+                            && i < log.size() - c.append().size() - 8) {
                 break;
             }
             if (known != null && !known.equals(e)) {
@@ -170,7 +180,8 @@
         for (int i = s.entries().size() - 1; i >= 0; i--) {
             String data = s.entries().get(i).data();
             boolean candidate = data.startsWith("{\"k\":\"candidate\"");
-            if ((candidate || data.startsWith("{\"k\":\"decide\"")) && read(data).path("epoch").asLong() == c.number) {
+            if ((candidate || data.startsWith("{\"k\":\"decide\""))
+                    && read(data).path("epoch").asLong() == c.number) {
                 if (candidate && decided) {
                     return data.contains(c.digest);
                 }
@@ -256,7 +267,10 @@
                 JsonNode s = h.ledger().snapshot();
                 state(at, s.toString(), RaftView.member(h));
                 Map<String, Long> versions = new LinkedHashMap<>();
-                s.path("taken").fields().forEachRemaining(f -> versions.put(f.getKey(), f.getValue().asLong()));
+                s.path("taken")
+                        .fields()
+                        .forEachRemaining(
+                                f -> versions.put(f.getKey(), f.getValue().asLong()));
                 history.agreed(versions);
                 stamp(h.ledger().current());
                 stamp(h.ledger().previous());
@@ -293,8 +307,10 @@
     private void beginsToLead(HelmCore h) {
         leads(RaftView.term(h), RaftView.member(h));
         if (RaftView.term(h) == highestTerm && h.ledger().current().epoch() < highestAcked) {
-            throw new Broken("NobodyLeadsWithOldState", RaftView.member(h) + " leads term " + highestTerm + " with version "
-                    + h.ledger().current().epoch() + ", " + highestAcked + " was acknowledged");
+            throw new Broken(
+                    "NobodyLeadsWithOldState",
+                    RaftView.member(h) + " leads term " + highestTerm + " with version "
+                            + h.ledger().current().epoch() + ", " + highestAcked + " was acknowledged");
         }
     }
 
--- a/src/test/java/bramblespool/model/ModelHunt.java
+++ b/src/test/java/bramblespool/model/ModelHunt.java
@@ -9,12 +9,22 @@
 class ModelHunt {
     @Test
     void nothingBreaks() throws InterruptedException {
-        List<Hunt.Found> found = Hunt.hunt(Long.getLong("model.from", 1), Integer.getInteger("model.count", 20_000),
-                Integer.getInteger("model.threads", 4), Integer.MAX_VALUE, null, null);
+        List<Hunt.Found> found = Hunt.hunt(
+                Long.getLong("model.from", 1),
+                Integer.getInteger("model.count", 20_000),
+                Integer.getInteger("model.threads", 4),
+                Integer.MAX_VALUE,
+                null,
+                null);
         if (!found.isEmpty()) {
             Hunt.Found f = found.get(0);
             Schedule small = Shrink.shrink(Draw.schedule(f.seed()), f.broken().invariant);
-            assertEquals(List.of(), found.stream().map(x -> x.seed() + " " + x.broken().getMessage()).toList(), small::toString);
+            assertEquals(
+                    List.of(),
+                    found.stream()
+                            .map(x -> x.seed() + " " + x.broken().getMessage())
+                            .toList(),
+                    small::toString);
         }
     }
 }
--- a/src/test/java/bramblespool/model/Mutants.java
+++ b/src/test/java/bramblespool/model/Mutants.java
@@ -13,17 +13,14 @@
 /** Plays the model on code with one fault in it, and says which invariant sees it, and after how many schedules. */
 public final class Mutants {
     /** One text in one source, and what stands there instead. */
-    private record Edit(String file, String text, String instead) {
-    }
+    private record Edit(String file, String text, String instead) {}
 
-    private record Mutant(String name, String theme, List<Edit> edits) {
-    }
+    private record Mutant(String name, String theme, List<Edit> edits) {}
 
     private static final Path MAIN = Path.of("src/main/java/bramblespool");
     private static final Path OUT = Path.of("target/mutants");
 
-    private Mutants() {
-    }
+    private Mutants() {}
 
     private static Mutant mutant(String name, String theme, String... edits) {
         List<Edit> all = new ArrayList<>();
@@ -34,89 +31,244 @@
     }
 
     private static final List<Mutant> ALL = List.of(
-            mutant("votes twice in a term", "MIX", "raft/Raft.java",
-                    "if (vote != null && !vote.equals(candidate)) {", "if (vote == null && candidate == null) {"),
-            mutant("votes before its disk has the vote", "MIX", "raft/Election.java",
+            mutant(
+                    "votes twice in a term",
+                    "MIX",
+                    "raft/Raft.java",
+                    "if (vote != null && !vote.equals(candidate)) {",
+                    "if (vote == null && candidate == null) {"),
+            mutant(
+                    "votes before its disk has the vote",
+                    "MIX",
+                    "raft/Election.java",
                     "raft.persist(0, List.of(), null, () -> answer.accept(yes));",
                     "raft.persist(0, List.of(), null, () -> { }); answer.accept(yes);"),
-            mutant("wins with half of the votes", "MIX", "state/Voters.java",
-                    "Math.max(voters / 2 + 1,", "Math.max(Math.max(1, voters / 2),"),
-            mutant("votes for whoever lacks entries", "CLOSING",
-                    "raft/Election.java", "if (!upToDate || !raft.voteFor(from)) {", "if (!raft.voteFor(from)) {",
-                    "raft/Election.java", "asked > raft.term() && upToDate", "asked > raft.term()"),
-            mutant("its term goes back", "CUT_OFF", "raft/Raft.java",
-                    "if (t < term) {", "if (t < 0) {", "raft/Raft.java", "boolean newer = newTerm > term;",
-                    "boolean newer = newTerm != term;", "raft/Raft.java", "if (t > term ||", "if (t != term ||"),
-            mutant("a follower answers before its disk", "MIX", "raft/Replication.java",
-                    "boolean[] over = {false};", "boolean[] over = {true}; answer.accept(yes);"),
-            mutant("a leader counts itself before its disk", "MIX", "raft/Raft.java",
-                    "persist(0, List.of(e), null, () -> {", "replication.stored(e.index()); persist(0, List.of(e), null, () -> {"),
-            mutant("one copy is enough", "MIX", "state/Voters.java",
-                    "return Math.max(voters / 2 + 1, Math.min(copies, voters));", "return copies == 0 ? voters / 2 + 1 : 1;"),
-            mutant("agrees on an older term's entry by counting", "STORM",
-                    "raft/Replication.java", "&& raft.entries.termAt(agreed) == raft.term()", "",
+            mutant(
+                    "wins with half of the votes",
+                    "MIX",
+                    "state/Voters.java",
+                    "Math.max(voters / 2 + 1,",
+                    "Math.max(Math.max(1, voters / 2),"),
+            mutant(
+                    "votes for whoever lacks entries",
+                    "CLOSING",
+                    "raft/Election.java",
+                    "if (!upToDate || !raft.voteFor(from)) {",
+                    "if (!raft.voteFor(from)) {",
+                    "raft/Election.java",
+                    "asked > raft.term() && upToDate",
+                    "asked > raft.term()"),
+            mutant(
+                    "its term goes back",
+                    "CUT_OFF",
+                    "raft/Raft.java",
+                    "if (t < term) {",
+                    "if (t < 0) {",
+                    "raft/Raft.java",
+                    "boolean newer = newTerm > term;",
+                    "boolean newer = newTerm != term;",
+                    "raft/Raft.java",
+                    "if (t > term ||",
+                    "if (t != term ||"),
+            mutant(
+                    "a follower answers before its disk",
+                    "MIX",
+                    "raft/Replication.java",
+                    "boolean[] over = {false};",
+                    "boolean[] over = {true}; answer.accept(yes);"),
+            mutant(
+                    "a leader counts itself before its disk",
+                    "MIX",
+                    "raft/Raft.java",
+                    "persist(0, List.of(e), null, () -> {",
+                    "replication.stored(e.index()); persist(0, List.of(e), null, () -> {"),
+            mutant(
+                    "one copy is enough",
+                    "MIX",
+                    "state/Voters.java",
+                    "return Math.max(voters / 2 + 1, Math.min(copies, voters));",
+                    "return copies == 0 ? voters / 2 + 1 : 1;"),
+            mutant(
+                    "agrees on an older term's entry by counting",
+                    "STORM",
+                    "raft/Replication.java",
+                    "&& raft.entries.termAt(agreed) == raft.term()",
+                    "",
                     // Else the first entry of the new term goes in the same message as the old one.
-                    "raft/Replication.java", "ENTRIES_AT_ONCE = 64", "ENTRIES_AT_ONCE = 1"),
-            mutant("does not look at the entry before", "CUT_OFF", "raft/Replication.java",
-                    "entries.termAt(prev) != m.path(\"prevTerm\").asLong()", "false"),
-            mutant("keeps what differs from its leader", "CUT_OFF", "raft/Replication.java",
-                    "if (at <= entries.last() && entries.termAt(at) != e.term()) {", "if (at <= entries.last() && e.term() < 0) {"),
-            mutant("stores entries altered", "MIX", "raft/Replication.java",
-                    "n.path(\"term\").asLong(), n.path(\"data\").asText())", "n.path(\"term\").asLong(), n.path(\"data\").asText() + \" \")"),
-            mutant("forgets evacuations with the next version", "MIX", "state/Ledger.java",
-                    "        candidate = null;\n        phase = Phase.DECIDED;", "        candidate = null;\n        evacuations.clear();\n        phase = Phase.DECIDED;"),
-            mutant("takes any snapshot", "AWAY", "raft/Replication.java",
-                    "if (ofSnapshot && index <= raft.commit && raft.fit()) {", "if (ofSnapshot && index < 0) {",
-                    "raft/Replication.java", "|| index < raft.entries.base()", "",
+                    "raft/Replication.java",
+                    "ENTRIES_AT_ONCE = 64",
+                    "ENTRIES_AT_ONCE = 1"),
+            mutant(
+                    "does not look at the entry before",
+                    "CUT_OFF",
+                    "raft/Replication.java",
+                    "entries.termAt(prev) != m.path(\"prevTerm\").asLong()",
+                    "false"),
+            mutant(
+                    "keeps what differs from its leader",
+                    "CUT_OFF",
+                    "raft/Replication.java",
+                    "if (at <= entries.last() && entries.termAt(at) != e.term()) {",
+                    "if (at <= entries.last() && e.term() < 0) {"),
+            mutant(
+                    "stores entries altered",
+                    "MIX",
+                    "raft/Replication.java",
+                    "n.path(\"term\").asLong(), n.path(\"data\").asText())",
+                    "n.path(\"term\").asLong(), n.path(\"data\").asText() + \" \")"),
+            mutant(
+                    "forgets evacuations with the next version",
+                    "MIX",
+                    "state/Ledger.java",
+                    "        candidate = null;\n        phase = Phase.DECIDED;",
+                    "        candidate = null;\n        evacuations.clear();\n        phase = Phase.DECIDED;"),
+            mutant(
+                    "takes any snapshot",
+                    "AWAY",
+                    "raft/Replication.java",
+                    "if (ofSnapshot && index <= raft.commit && raft.fit()) {",
+                    "if (ofSnapshot && index < 0) {",
+                    "raft/Replication.java",
+                    "|| index < raft.entries.base()",
+                    "",
                     // Else the entries behind it stay, and all that was applied is applied again at once.
-                    "raft/RaftLog.java", "boolean agrees = termAt(by.index()) == by.term();", "boolean agrees = false;"),
-            mutant("says yes to a snapshot that its disk lacks", "AWAY", "raft/Replication.java",
-                    "store(0, List.of(), null, answer);", "answer.accept(raft.reply(true));"),
-            mutant("a snapshot forgets what was taken", "AWAY", "state/Ledger.java",
-                    "n.path(\"taken\").fields().forEachRemaining(f -> taken.put(brief(f.getKey()), f.getValue().asLong()));", ""),
-            mutant("a snapshot forgets the voters", "AWAY", "raft/RaftLog.java",
-                    "votersThen = votersOf(get(i));", ""),
-            mutant("changes voters while a change is open", "BEYOND",
-                    "raft/Configuration.java", "|| raft.entries.changesVoters(raft.commit)", ""),
-            mutant("never replaces who is absent", "TURNS", "raft/Configuration.java",
-                    "} else if (silent > raft.times.absent() &&", "} else if (silent < 0 &&"),
-            mutant("swaps a voter in one step", "BEYOND", "raft/Configuration.java",
-                    "RaftLog.members(group.to(next))", "RaftLog.members(Voters.read(next))"),
-            mutant("reads without asking", "CUT_OFF", "raft/Reads.java",
-                    "waiting.add(new Read(raft.clock.now(), done));", "if (raft.leads()) { done.accept(true); return; }"),
-            mutant("refuses without a majority", "CUT_OFF", "coordination/Commit.java",
-                    "raft.confirm(ok -> {", "java.util.Optional.of(true).ifPresent(ok -> {"),
-            mutant("leads before it has applied all", "CLOSING", "raft/Raft.java",
-                    "        ready = false;\n        replication.clear();", "        ready = true;\n        replication.clear();"),
-            mutant("does not know a repeat", "RIVALS", "coordination/Commit.java",
-                    "if (ledger.taken(change.digest())) {", "if (false) {", "coordination/Commit.java",
-                    "boolean taken = ledger.taken(o.change.digest());", "boolean taken = false;"),
-            mutant("does not look at the base", "RIVALS", "coordination/Commit.java",
-                    "if (change.base() != ledger.current().epoch()) {", "if (false) {", "coordination/Commit.java",
-                    "boolean stale = o.change.base() != ledger.current().epoch();", "boolean stale = false;", "state/Ledger.java",
-                    "candidateBase != current.epoch ||", ""),
-            mutant("refuses where it cannot know", "RIVALS", "coordination/Commit.java",
+                    "raft/RaftLog.java",
+                    "boolean agrees = termAt(by.index()) == by.term();",
+                    "boolean agrees = false;"),
+            mutant(
+                    "says yes to a snapshot that its disk lacks",
+                    "AWAY",
+                    "raft/Replication.java",
+                    "store(0, List.of(), null, answer);",
+                    "answer.accept(raft.reply(true));"),
+            mutant(
+                    "a snapshot forgets what was taken",
+                    "AWAY",
+                    "state/Ledger.java",
+                    "n.path(\"taken\").fields().forEachRemaining(f -> taken.put(brief(f.getKey()), f.getValue().asLong()));",
+                    ""),
+            mutant("a snapshot forgets the voters", "AWAY", "raft/RaftLog.java", "votersThen = votersOf(get(i));", ""),
+            mutant(
+                    "changes voters while a change is open",
+                    "BEYOND",
+                    "raft/Configuration.java",
+                    "|| raft.entries.changesVoters(raft.commit)",
+                    ""),
+            mutant(
+                    "never replaces who is absent",
+                    "TURNS",
+                    "raft/Configuration.java",
+                    "} else if (silent > raft.times.absent() &&",
+                    "} else if (silent < 0 &&"),
+            mutant(
+                    "swaps a voter in one step",
+                    "BEYOND",
+                    "raft/Configuration.java",
+                    "RaftLog.members(group.to(next))",
+                    "RaftLog.members(Voters.read(next))"),
+            mutant(
+                    "reads without asking",
+                    "CUT_OFF",
+                    "raft/Reads.java",
+                    "waiting.add(new Read(raft.clock.now(), done));",
+                    "if (raft.leads()) { done.accept(true); return; }"),
+            mutant(
+                    "refuses without a majority",
+                    "CUT_OFF",
+                    "coordination/Commit.java",
+                    "raft.confirm(ok -> {",
+                    "java.util.Optional.of(true).ifPresent(ok -> {"),
+            mutant(
+                    "leads before it has applied all",
+                    "CLOSING",
+                    "raft/Raft.java",
+                    "        ready = false;\n        replication.clear();",
+                    "        ready = true;\n        replication.clear();"),
+            mutant(
+                    "does not know a repeat",
+                    "RIVALS",
+                    "coordination/Commit.java",
+                    "if (ledger.taken(change.digest())) {",
+                    "if (false) {",
+                    "coordination/Commit.java",
+                    "boolean taken = ledger.taken(o.change.digest());",
+                    "boolean taken = false;"),
+            mutant(
+                    "does not look at the base",
+                    "RIVALS",
+                    "coordination/Commit.java",
+                    "if (change.base() != ledger.current().epoch()) {",
+                    "if (false) {",
+                    "coordination/Commit.java",
+                    "boolean stale = o.change.base() != ledger.current().epoch();",
+                    "boolean stale = false;",
+                    "state/Ledger.java",
+                    "candidateBase != current.epoch ||",
+                    ""),
+            mutant(
+                    "refuses where it cannot know",
+                    "RIVALS",
+                    "coordination/Commit.java",
                     "if (!ok || !ledger.taken(o.change.digest())) {\n                o.done.accept(Orders.Outcome.unclear(\"the lead was lost\"));",
                     "if (!ok || !ledger.taken(o.change.digest())) {\n                o.done.accept(Orders.Outcome.stale(0));"),
-            mutant("refuses a number that is free", "MIX", "coordination/Commit.java",
-                    "if (config.epoch <= ledger.current().epoch()) {", "if (config.epoch <= ledger.current().epoch() + 3 && config.epoch > 5) {"),
-            mutant("leaves what the last leader left", "RIVALS", "coordination/Commit.java",
-                    "if (ledger.candidate() != null) {", "if (false) {"),
-            mutant("works on two changes at once", "RIVALS",
-                    "coordination/Commit.java", "        busy = true;\n        long mine = lead;\n        ObjectNode e", "        long mine = lead;\n        ObjectNode e"),
-            mutant("records a change under another's digest", "MIX", "state/Ledger.java",
-                    "taken.put(brief(current.digest), epoch);", "taken.put(brief(current.digest), epoch); taken.put(brief(current.digest) + \"x\", epoch);"),
-            mutant("forgets an evacuation", "MIX", "state/Ledger.java",
-                    "case \"evac\" -> evacuations.put(e.path(\"zone\").asText(), new Evacuation(e.path(\"on\").asBoolean(), index));", "case \"evac\" -> { }"),
-            mutant("a side takes an older version", "MIX", "coordination/Shadow.java",
-                    "if (decided.epoch <= epoch()) {", "if (decided.epoch == epoch()) {", "coordination/WeftCore.java",
-                    "if (epoch < shadow.epoch()) {", "if (epoch < 0) {", "coordination/WeftCore.java",
-                    "|| shadow.epoch() >= epoch) {", ") {"),
-            mutant("a side uses what is only proposed", "MIX", "coordination/Shadow.java",
-                    "        installed[1 - real] = candidate;\n", "        installed[1 - real] = candidate;\n        real = 1 - real;\n"),
-            mutant("a side that missed a version stays there", "MIX", "coordination/WeftCore.java",
-                    "if (fetching) {\n            return;", "if (epoch > 0) {\n            return;"),
-            mutant("an index is off by one", "CUT_OFF", "raft/RaftLog.java",
+            mutant(
+                    "refuses a number that is free",
+                    "MIX",
+                    "coordination/Commit.java",
+                    "if (config.epoch <= ledger.current().epoch()) {",
+                    "if (config.epoch <= ledger.current().epoch() + 3 && config.epoch > 5) {"),
+            mutant(
+                    "leaves what the last leader left",
+                    "RIVALS",
+                    "coordination/Commit.java",
+                    "if (ledger.candidate() != null) {",
+                    "if (false) {"),
+            mutant(
+                    "works on two changes at once",
+                    "RIVALS",
+                    "coordination/Commit.java",
+                    "        busy = true;\n        long mine = lead;\n        ObjectNode e",
+                    "        long mine = lead;\n        ObjectNode e"),
+            mutant(
+                    "records a change under another's digest",
+                    "MIX",
+                    "state/Ledger.java",
+                    "taken.put(brief(current.digest), epoch);",
+                    "taken.put(brief(current.digest), epoch); taken.put(brief(current.digest) + \"x\", epoch);"),
+            mutant(
+                    "forgets an evacuation",
+                    "MIX",
+                    "state/Ledger.java",
+                    "case \"evac\" -> evacuations.put(e.path(\"zone\").asText(), new Evacuation(e.path(\"on\").asBoolean(), index));",
+                    "case \"evac\" -> { }"),
+            mutant(
+                    "a side takes an older version",
+                    "MIX",
+                    "coordination/Shadow.java",
+                    "if (decided.epoch <= epoch()) {",
+                    "if (decided.epoch == epoch()) {",
+                    "coordination/WeftCore.java",
+                    "if (epoch < shadow.epoch()) {",
+                    "if (epoch < 0) {",
+                    "coordination/WeftCore.java",
+                    "|| shadow.epoch() >= epoch) {",
+                    ") {"),
+            mutant(
+                    "a side uses what is only proposed",
+                    "MIX",
+                    "coordination/Shadow.java",
+                    "        installed[1 - real] = candidate;\n",
+                    "        installed[1 - real] = candidate;\n        real = 1 - real;\n"),
+            mutant(
+                    "a side that missed a version stays there",
+                    "MIX",
+                    "coordination/WeftCore.java",
+                    "if (fetching) {\n            return;",
+                    "if (epoch > 0) {\n            return;"),
+            mutant(
+                    "an index is off by one",
+                    "CUT_OFF",
+                    "raft/RaftLog.java",
                     "entries.subList((int) (from - before - 1), entries.size()).clear();",
                     "entries.subList((int) (from - before), entries.size() - 1).clear();"));
 
@@ -158,10 +310,12 @@
         for (String p : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
             path.add(Path.of(p).toUri().toURL());
         }
-        try (URLClassLoader loader = new URLClassLoader(path.toArray(URL[]::new), ClassLoader.getPlatformClassLoader())) {
-            var first = loader.loadClass(Hunt.class.getName()).getDeclaredMethod("first", String.class, long.class, long.class);
+        try (URLClassLoader loader =
+                new URLClassLoader(path.toArray(URL[]::new), ClassLoader.getPlatformClassLoader())) {
+            var first = loader.loadClass(Hunt.class.getName())
+                    .getDeclaredMethod("first", String.class, long.class, long.class);
             first.setAccessible(true);
-            for (long from = 1; from <= most;) {
+            for (long from = 1; from <= most; ) {
                 String seen = (String) first.invoke(null, m.theme, from, (long) most);
                 if (seen == null) {
                     break;
@@ -186,8 +340,8 @@
             }
         }
         Path classes = Files.createDirectories(out.resolve("classes"));
-        List<String> args = new ArrayList<>(List.of("-nowarn", "-proc:none", "-d", classes.toString(), "-cp",
-                System.getProperty("java.class.path")));
+        List<String> args = new ArrayList<>(List.of(
+                "-nowarn", "-proc:none", "-d", classes.toString(), "-cp", System.getProperty("java.class.path")));
         for (Edit e : m.edits) {
             Path copy = out.resolve("src").resolve(e.file);
             String known = copy.toString();
--- a/src/test/java/bramblespool/model/Operators.java
+++ b/src/test/java/bramblespool/model/Operators.java
@@ -20,6 +20,7 @@
     static final String PEER = "10.8.0.1:7000";
     /** Silence after which another helm is asked, and the pauses before that. */
     private static final long SILENCE = 1000;
+
     private static final long FIRST_PAUSE = 50;
     private static final long LONGEST_PAUSE = 800;
     private static final int REDIRECTS = 2;
@@ -31,6 +32,7 @@
         final long since;
         /** When its clear answer came, or -1. */
         long done = -1;
+
         int status;
 
         private Errand(String what, ObjectNode message, long since) {
@@ -48,9 +50,11 @@
     final Map<Integer, History.Change> changes = new HashMap<>();
     /** What the newest evacuation order that each zone has acknowledged said, and those without a clear answer. */
     final Map<String, Boolean> evacuated = new HashMap<>();
+
     private final Map<String, Errand> evacuating = new HashMap<>();
     /** The newest version that an operator knows. */
     long known;
+
     private int marks;
     private boolean over;
 
@@ -74,7 +78,8 @@
         String document = SimMesh.document(number, known, "p" + name);
         String digest;
         try {
-            digest = Orders.change(false, document.getBytes(StandardCharsets.UTF_8)).digest();
+            digest = Orders.change(false, document.getBytes(StandardCharsets.UTF_8))
+                    .digest();
         } catch (Config.Invalid e) {
             throw new IllegalStateException(e);
         }
@@ -85,11 +90,15 @@
 
     Errand again(int name, String to) {
         History.Change c = changes.get(name);
-        return c == null ? null : send(c, to, e -> { });
+        return c == null ? null : send(c, to, e -> {});
     }
 
     private Errand send(History.Change c, String to, Consumer<Errand> done) {
-        ObjectNode m = JsonNodeFactory.instance.objectNode().put("do", "replace").put("name", c.name).put("doc", c.document);
+        ObjectNode m = JsonNodeFactory.instance
+                .objectNode()
+                .put("do", "replace")
+                .put("name", c.name)
+                .put("doc", c.document);
         return start(c.toString(), m, to, e -> {
             if (e.status == 200) {
                 known = Math.max(known, c.number);
@@ -99,18 +108,27 @@
     }
 
     Errand read(String to) {
-        return start("read", JsonNodeFactory.instance.objectNode().put("do", "read"), to, e -> { });
+        return start("read", JsonNodeFactory.instance.objectNode().put("do", "read"), to, e -> {});
     }
 
     void evacuate(String zone, boolean on, String to) {
         if (evacuating.containsKey(zone)) {
             return;
         }
-        evacuating.put(zone, start("evacuate " + zone, JsonNodeFactory.instance.objectNode().put("do", "evacuate")
-                .put("zone", zone).put("on", on), to, e -> {
-            evacuating.remove(zone);
-            evacuated.put(zone, on);
-        }));
+        evacuating.put(
+                zone,
+                start(
+                        "evacuate " + zone,
+                        JsonNodeFactory.instance
+                                .objectNode()
+                                .put("do", "evacuate")
+                                .put("zone", zone)
+                                .put("on", on),
+                        to,
+                        e -> {
+                            evacuating.remove(zone);
+                            evacuated.put(zone, on);
+                        }));
     }
 
     boolean evacuating(String zone) {
--- a/src/test/java/bramblespool/model/Play.java
+++ b/src/test/java/bramblespool/model/Play.java
@@ -23,6 +23,7 @@
     final Operators operators;
     /** Helms there have been, by number; null where one is gone for good. */
     private final List<String> helms = new ArrayList<>();
+
     private String leader;
     private String before;
     private int many = MANY;
@@ -34,7 +35,8 @@
         mesh = new SimMesh(schedule.seed(), schedule.helms(), schedule.wefts(), schedule.losses(), null);
         world = mesh.world;
         invariants = new Invariants(mesh, history, schedule.losses());
-        operators = new Operators(world, () -> helms.stream().filter(h -> h != null).toList(), history);
+        operators =
+                new Operators(world, () -> helms.stream().filter(h -> h != null).toList(), history);
         world.tap = invariants;
         world.weighs = schedule.steps().stream().anyMatch(s -> s.kind() == Step.Kind.SLOW_LINK);
         world.resent = 0.5;
@@ -78,7 +80,7 @@
 
     private Broken run() {
         try {
-            operators.order(FIRST, 5, helms.get(0), e -> { });
+            operators.order(FIRST, 5, helms.get(0), e -> {});
             long start = world.now();
             schedule.steps().forEach(s -> world.at(s.at(), () -> apply(s)));
             world.run(schedule.ends() + Schedule.QUIET);
@@ -95,7 +97,7 @@
     // ---- the end
 
     private void calmAgain(long start) {
-        Operators.Errand last = operators.order(LAST, 3, helm("?"), e -> { });
+        Operators.Errand last = operators.order(LAST, 3, helm("?"), e -> {});
         Operators.Errand read = operators.read(helm("?"));
         long until = world.now() + Schedule.ACK + HOP;
         while (world.now() < until && (last.done < 0 || read.done < 0)) {
@@ -116,7 +118,9 @@
         }
         for (var w : mesh.wefts.entrySet()) {
             if (w.getValue().shadow.epoch() < now) {
-                throw new Broken("SidesFollowInTime", w.getKey() + " is at " + w.getValue().shadow.epoch() + ", not " + now);
+                throw new Broken(
+                        "SidesFollowInTime",
+                        w.getKey() + " is at " + w.getValue().shadow.epoch() + ", not " + now);
             }
         }
         operators.evacuated.forEach((zone, on) -> {
@@ -143,10 +147,18 @@
         long end = e.done >= 0 ? e.done : world.now();
         for (long from = e.since; from + Schedule.ACK + HOP <= end; from += HOP) {
             if (from - start >= Schedule.CATCH_UP && schedule.calm(from - start, from - start + Schedule.ACK)) {
-                throw new Broken("CalmOrdersAreAnswered", e.what + " waits from " + (e.since - start) + " to " + (end - start)
-                        + (e.done < 0 ? " and on" : "") + (mesh.leader() == null ? ", nobody leads" : "") + ", members "
-                        + mesh.helms.values().stream().map(h -> RaftView.member(h) + (RaftView.leads(h) ? "*" : "")).toList()
-                        + " voters " + mesh.helms.values().stream().map(RaftView::voters).toList());
+                throw new Broken(
+                        "CalmOrdersAreAnswered",
+                        e.what + " waits from " + (e.since - start) + " to " + (end - start)
+                                + (e.done < 0 ? " and on" : "") + (mesh.leader() == null ? ", nobody leads" : "")
+                                + ", members "
+                                + mesh.helms.values().stream()
+                                        .map(h -> RaftView.member(h) + (RaftView.leads(h) ? "*" : ""))
+                                        .toList()
+                                + " voters "
+                                + mesh.helms.values().stream()
+                                        .map(RaftView::voters)
+                                        .toList());
             }
         }
     }
@@ -164,7 +176,9 @@
             }
             case 'F', '?' -> {
                 List<String> some = new ArrayList<>(helms);
-                some.removeIf(h -> h == null || who.equals("F") && (h.equals(leader) || !world.machine(h).up()));
+                some.removeIf(h -> h == null
+                        || who.equals("F")
+                                && (h.equals(leader) || !world.machine(h).up()));
                 return some.isEmpty() ? null : some.get(world.random.nextInt(some.size()));
             }
             default -> {
@@ -176,7 +190,7 @@
 
     private void apply(Step s) {
         switch (s.kind()) {
-            case ORDER -> operators.order(s.n(), s.ms(), helm(s.who()), e -> { });
+            case ORDER -> operators.order(s.n(), s.ms(), helm(s.who()), e -> {});
             case AGAIN -> operators.again(s.n(), helm(s.who()));
             case READ -> operators.read(helm(s.who()));
             case EVACUATE -> operators.evacuate(SimMesh.ZONES[s.n() % 10 % 3], s.n() < 10, helm(s.who()));
--- a/src/test/java/bramblespool/model/RaftView.java
+++ b/src/test/java/bramblespool/model/RaftView.java
@@ -8,8 +8,7 @@
 
 /** All that the model reads of a helm's agreement. */
 final class RaftView {
-    private RaftView() {
-    }
+    private RaftView() {}
 
     static boolean leads(HelmCore h) {
         return h.raft.leads();
@@ -46,11 +45,14 @@
         if (!answer.path("ok").asBoolean() || answer.has("have")) {
             return 0;
         }
-        long upTo = switch (kind) {
-            case "append" -> request.path("prevIndex").asLong() + request.path("entries").size();
-            case "part" -> request.path("index").asLong();
-            default -> 0;
-        };
+        long upTo =
+                switch (kind) {
+                    case "append" ->
+                        request.path("prevIndex").asLong()
+                                + request.path("entries").size();
+                    case "part" -> request.path("index").asLong();
+                    default -> 0;
+                };
         return Math.min(upTo, answer.path("stored").asLong(upTo));
     }
 
--- a/src/test/java/bramblespool/model/Schedule.java
+++ b/src/test/java/bramblespool/model/Schedule.java
@@ -13,6 +13,7 @@
 record Schedule(long seed, int helms, int wefts, int losses, boolean beyond, List<Step> steps) {
     /** The time from the start of a mesh, or of a machine, until it is owed all, and how long the core is given to settle. */
     static final long CATCH_UP = 4000;
+
     static final long QUIET = 3000;
     static final long ACK = 5000;
     static final long APPLY = 2500;
@@ -76,8 +77,15 @@
     /** As a test can take it. */
     @Override
     public String toString() {
-        StringBuilder b = new StringBuilder().append(seed).append(' ').append(helms).append(' ').append(wefts).append(' ')
-                .append(losses).append(beyond ? " beyond" : "");
+        StringBuilder b = new StringBuilder()
+                .append(seed)
+                .append(' ')
+                .append(helms)
+                .append(' ')
+                .append(wefts)
+                .append(' ')
+                .append(losses)
+                .append(beyond ? " beyond" : "");
         steps.forEach(s -> b.append('\n').append(s));
         return b.toString();
     }
@@ -89,7 +97,12 @@
         for (int i = 1; i < lines.length; i++) {
             steps.add(Step.parse(lines[i]));
         }
-        return new Schedule(Long.parseLong(p[0]), Integer.parseInt(p[1]), Integer.parseInt(p[2]), Integer.parseInt(p[3]),
-                p.length > 4, steps);
+        return new Schedule(
+                Long.parseLong(p[0]),
+                Integer.parseInt(p[1]),
+                Integer.parseInt(p[2]),
+                Integer.parseInt(p[3]),
+                p.length > 4,
+                steps);
     }
 }
--- a/src/test/java/bramblespool/model/Shrink.java
+++ b/src/test/java/bramblespool/model/Shrink.java
@@ -16,7 +16,7 @@
     static Schedule shrink(Schedule s, String invariant) {
         Shrink k = new Shrink(invariant);
         Schedule best = s;
-        for (boolean better = true; better && k.plays < MOST;) {
+        for (boolean better = true; better && k.plays < MOST; ) {
             Schedule before = best;
             best = k.fewer(best);
             best = k.sooner(best);
@@ -36,7 +36,7 @@
     private Schedule fewer(Schedule s) {
         Schedule best = s;
         for (int part = Math.max(1, s.steps().size() / 2); part >= 1; part /= 2) {
-            for (int from = 0; from < best.steps().size();) {
+            for (int from = 0; from < best.steps().size(); ) {
                 List<Step> left = new ArrayList<>(best.steps());
                 left.subList(from, Math.min(left.size(), from + part)).clear();
                 Schedule t = best.with(left);
--- a/src/test/java/bramblespool/model/Step.java
+++ b/src/test/java/bramblespool/model/Step.java
@@ -81,7 +81,18 @@
     /** How many machines it makes lost, as the budget counts them; -1: that is not limited. */
     int losses(int helms) {
         return switch (kind) {
-            case CUT, ISOLATE, LINK_CUT, FREEZE, KILL, POWER, WIPE, REPLACE, LEAVE, SLOW_DISK, HANGING_DISK, FULL_DISK,
+            case CUT,
+                    ISOLATE,
+                    LINK_CUT,
+                    FREEZE,
+                    KILL,
+                    POWER,
+                    WIPE,
+                    REPLACE,
+                    LEAVE,
+                    SLOW_DISK,
+                    HANGING_DISK,
+                    FULL_DISK,
                     SLOW_LINK -> 1;
             case SPLIT -> Math.min(Integer.bitCount(n), helms - Integer.bitCount(n));
             case CLOSING -> n;
