--- a/src/test/java/bramblespool/role/AnswerTest.java
+++ b/src/test/java/bramblespool/role/AnswerTest.java
@@ -31,6 +31,7 @@
 class AnswerTest {
     /** The statuses by which a request is promised not to have run. */
     private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+
     private static final long BEYOND_DEADLINE_MS = 2000;
 
     private Scene scene;
@@ -84,16 +85,35 @@
     /** After the columns of statuses: how often a mutating one runs, and what is done with the connection. */
     @ParameterizedTest
     @CsvSource({
-        "ok,200,200,1,used", "refused,200,200,1,used", "refusedAlways,503,503,0,used",
-        "bare503,502,503,1,used", "bare429,502,429,1,used", "bare408,502,408,1,used",
-        "silence,504,504,1,shut", "late,504,504,1,shut", "frozen,504,504,1,shut",
-        "resetBefore,502,200,1,shut", "resetIn,502,200,1,shut", "resetAfter,200,200,1,dirty",
-        "twice,200,200,1,shut", "stutter,200,200,1,dirty",
-        "otherId,502,200,1,shut", "noId,502,200,1,shut", "twoIds,502,200,1,shut",
-        "otherIdRefusal,502,200,1,shut", "noIdRefusal,502,200,1,shut", "other421,502,200,1,shut",
-        "garbage,502,200,1,shut", "noLength,502,200,1,shut", "interim,502,200,1,shut",
-        "twoLengths,502,200,1,shut", "shortThenLong,502,200,1,shut", "lengthAndChunks,502,200,1,shut"})
-    void aFaultOfOneHopReachesNobodyElse(String fault, int mutating, int idempotent, int runs, String connection) throws Exception {
+        "ok,200,200,1,used",
+        "refused,200,200,1,used",
+        "refusedAlways,503,503,0,used",
+        "bare503,502,503,1,used",
+        "bare429,502,429,1,used",
+        "bare408,502,408,1,used",
+        "silence,504,504,1,shut",
+        "late,504,504,1,shut",
+        "frozen,504,504,1,shut",
+        "resetBefore,502,200,1,shut",
+        "resetIn,502,200,1,shut",
+        "resetAfter,200,200,1,dirty",
+        "twice,200,200,1,shut",
+        "stutter,200,200,1,dirty",
+        "otherId,502,200,1,shut",
+        "noId,502,200,1,shut",
+        "twoIds,502,200,1,shut",
+        "otherIdRefusal,502,200,1,shut",
+        "noIdRefusal,502,200,1,shut",
+        "other421,502,200,1,shut",
+        "garbage,502,200,1,shut",
+        "noLength,502,200,1,shut",
+        "interim,502,200,1,shut",
+        "twoLengths,502,200,1,shut",
+        "shortThenLong,502,200,1,shut",
+        "lengthAndChunks,502,200,1,shut"
+    })
+    void aFaultOfOneHopReachesNobodyElse(String fault, int mutating, int idempotent, int runs, String connection)
+            throws Exception {
         for (Hop hop : List.of(Hop.SERVER, Hop.PEER)) {
             for (String routeClass : List.of("mutating", "idempotent")) {
                 String of = hop + " " + routeClass;
@@ -117,8 +137,12 @@
                 int at = book.connectionsOf(fault).get(0);
                 int before = book.arrivals.size();
                 goesOn("/" + hop + "/mutating/", connection.equals("dirty"));
-                List<Integer> later = book.arrivals.subList(before, book.arrivals.size()).stream().map(Arrival::connection).toList();
-                assertTrue(!connection.equals("shut") || !later.contains(at), of + ": a connection that is not to be trusted is used again");
+                List<Integer> later = book.arrivals.subList(before, book.arrivals.size()).stream()
+                        .map(Arrival::connection)
+                        .toList();
+                assertTrue(
+                        !connection.equals("shut") || !later.contains(at),
+                        of + ": a connection that is not to be trusted is used again");
                 assertTrue(!connection.equals("used") || later.contains(at), of + ": a sound one is used again");
                 scene.close();
                 open();
@@ -135,8 +159,14 @@
 
     /** The inbound daemon names the request in whatever it answers, or the outbound one would not believe it. */
     @ParameterizedTest
-    @CsvSource({"/SERVER/mutating/ok,0,200", "/SERVER/mutating/ok,7,503", "/SERVER/mutating/refused,0,503", "/SERVER/mutating/noId,0,502",
-        "/SERVER/mutating/silence,0,502", "/SERVER/mutating/resetBefore,0,502"})
+    @CsvSource({
+        "/SERVER/mutating/ok,0,200",
+        "/SERVER/mutating/ok,7,503",
+        "/SERVER/mutating/refused,0,503",
+        "/SERVER/mutating/noId,0,502",
+        "/SERVER/mutating/silence,0,502",
+        "/SERVER/mutating/resetBefore,0,502"
+    })
     void everyAnswerBetweenDaemonsNamesItsRequest(String path, String mark, int status) throws Exception {
         try (Socket s = scene.connect(scene.inbound)) {
             Scene.write(s, Scene.request("a", path, "X-Spool-Mark: " + mark + "\r\n"));
@@ -146,15 +176,28 @@
             }
             Reply r = Reply.read(s);
             assertEquals(status, r.status(), r.toString());
-            assertEquals(status == 200 ? "a" : status == 503 ? "n" : "m", StandIn.value(r.head(), "X-Spool-Verdict", ""), r.toString());
+            assertEquals(
+                    status == 200 ? "a" : status == 503 ? "n" : "m",
+                    StandIn.value(r.head(), "X-Spool-Verdict", ""),
+                    r.toString());
             assertEquals("a", StandIn.value(r.head(), "X-Attempt-Id", ""), r.toString());
         }
     }
 
     /** A server answers when it has read the head only, and reads on; the client sends on, or goes away, or stops. */
     @ParameterizedTest
-    @CsvSource({"SERVER,early,200,whole", "SERVER,early,200,cut", "SERVER,early,200,stop", "SERVER,earlyRefused,503,stop",
-        "SERVER,earlyGarbage,502,stop", "PEER,earlyGarbage,502,stop", "PEER,early,200,whole", "PEER,early,200,cut", "PEER,early,200,stop", "PEER,earlyRefused,503,stop"})
+    @CsvSource({
+        "SERVER,early,200,whole",
+        "SERVER,early,200,cut",
+        "SERVER,early,200,stop",
+        "SERVER,earlyRefused,503,stop",
+        "SERVER,earlyGarbage,502,stop",
+        "PEER,earlyGarbage,502,stop",
+        "PEER,early,200,whole",
+        "PEER,early,200,cut",
+        "PEER,early,200,stop",
+        "PEER,earlyRefused,503,stop"
+    })
     void anAnswerBeforeTheBodySpoilsTheConnection(String hop, String fault, int status, String then) throws Exception {
         String path = "/" + hop + "/mutating/";
         String part = "x".repeat(200_000);
@@ -176,24 +219,33 @@
             goesOn(path, false);
             Book.await(book.over);
             for (Arrival a : book.arrivals.subList(before, book.arrivals.size())) {
-                assertTrue(a.connection() != at || a.id().equals("early"), "a request was sent behind one that was not sent whole");
+                assertTrue(
+                        a.connection() != at || a.id().equals("early"),
+                        "a request was sent behind one that was not sent whole");
             }
             for (Arrival a : book.arrivals) {
-                assertTrue(!a.id().equals("early") || a.body() == null || a.body().length() == 2 * part.length(), "a cut body looks whole");
+                assertTrue(
+                        !a.id().equals("early") || a.body() == null || a.body().length() == 2 * part.length(),
+                        "a cut body looks whole");
             }
         }
     }
 
     @ParameterizedTest
-    @EnumSource(value = Hop.class, names = {"SERVER", "PEER"})
+    @EnumSource(
+            value = Hop.class,
+            names = {"SERVER", "PEER"})
     void aBodyThatBreaksOffNeverLooksWholeAndIsNotSentAgain(Hop hop) throws Exception {
         String part = "x".repeat(200_000);
         for (String framing : List.of("Transfer-Encoding: chunked\r\n", "Content-Length: 400000\r\n")) {
             for (String routeClass : List.of("mutating", "idempotent")) {
                 String id = routeClass + framing.charAt(0);
                 try (Socket s = scene.client()) {
-                    Scene.write(s, Scene.request(id, "/" + hop + "/" + routeClass + "/ok", framing)
-                            + (framing.startsWith("T") ? Integer.toHexString(part.length()) + "\r\n" : "") + part);
+                    Scene.write(
+                            s,
+                            Scene.request(id, "/" + hop + "/" + routeClass + "/ok", framing)
+                                    + (framing.startsWith("T") ? Integer.toHexString(part.length()) + "\r\n" : "")
+                                    + part);
                     s.shutdownOutput();
                     Reply r = Reply.read(s);
                     assertTrue(r.status() / 100 != 2, r.toString());
@@ -220,11 +272,15 @@
     private CompletableFuture<JsonNode> call(AtomicInteger heard, int n, String kind, int padding) {
         CompletableFuture<JsonNode> got = new CompletableFuture<>();
         Scene.on(() -> {
-            scene.wire.call(scene.peer, kind, JsonNodeFactory.instance.objectNode().put("n", n).put("padding", " ".repeat(padding)),
-                    1500, a -> {
-                heard.incrementAndGet();
-                got.complete(a);
-            });
+            scene.wire.call(
+                    scene.peer,
+                    kind,
+                    JsonNodeFactory.instance.objectNode().put("n", n).put("padding", " ".repeat(padding)),
+                    1500,
+                    a -> {
+                        heard.incrementAndGet();
+                        got.complete(a);
+                    });
             return null;
         });
         return got;
@@ -239,9 +295,27 @@
 
     /** Messages between daemons: each call hears one word, its own answer or none. */
     @ParameterizedTest
-    @CsvSource({"ok,y,used", "refused,n,used", "silence,n,shut", "late,n,shut", "frozen,n,shut", "resetBefore,n,shut", "resetIn,n,shut",
-        "resetAfter,y,dirty", "twice,y,shut", "stutter,y,dirty", "otherId,n,shut", "noId,n,shut", "twoIds,n,shut", "garbage,n,shut",
-        "noLength,n,shut", "interim,n,shut", "twoLengths,n,shut", "lengthAndChunks,n,shut", "early,n,shut"})
+    @CsvSource({
+        "ok,y,used",
+        "refused,n,used",
+        "silence,n,shut",
+        "late,n,shut",
+        "frozen,n,shut",
+        "resetBefore,n,shut",
+        "resetIn,n,shut",
+        "resetAfter,y,dirty",
+        "twice,y,shut",
+        "stutter,y,dirty",
+        "otherId,n,shut",
+        "noId,n,shut",
+        "twoIds,n,shut",
+        "garbage,n,shut",
+        "noLength,n,shut",
+        "interim,n,shut",
+        "twoLengths,n,shut",
+        "lengthAndChunks,n,shut",
+        "early,n,shut"
+    })
     void aMessageHearsItsOwnAnswerOrNone(String fault, String answered, String connection) throws Exception {
         AtomicInteger heard = new AtomicInteger();
         assertEquals(0, heard(call(heard, 0, "ok", 0)).path("n").asInt());
@@ -256,11 +330,19 @@
         book.go.countDown();
         for (int n = 2; n < 6; n++) {
             JsonNode next = heard(call(heard, n, "ok", 0));
-            assertTrue(next == null ? connection.equals("dirty") && n < 5 : next.path("n").asInt() == n, n + " heard " + next);
+            assertTrue(
+                    next == null
+                            ? connection.equals("dirty") && n < 5
+                            : next.path("n").asInt() == n,
+                    n + " heard " + next);
         }
         assertEquals(6, heard.get(), "each call hears once");
-        List<Integer> later = book.arrivals.subList(2, book.arrivals.size()).stream().map(Arrival::connection).toList();
-        assertTrue(!connection.equals("shut") || !later.contains(at), "a connection that is not to be trusted is used again");
+        List<Integer> later = book.arrivals.subList(2, book.arrivals.size()).stream()
+                .map(Arrival::connection)
+                .toList();
+        assertTrue(
+                !connection.equals("shut") || !later.contains(at),
+                "a connection that is not to be trusted is used again");
         assertTrue(!connection.equals("used") || later.contains(at), "a sound one is used again");
     }
 
@@ -273,7 +355,9 @@
             for (int i = 0; i < atOnce; i++) {
                 String id = round + "-" + i;
                 ids.add(id);
-                all.add(scene.send(id, "/" + (i % 2 == 0 ? Hop.SERVER : Hop.PEER) + "/mutating/" + (i % 5 == 4 ? "stutter" : "ok")));
+                all.add(scene.send(
+                        id,
+                        "/" + (i % 2 == 0 ? Hop.SERVER : Hop.PEER) + "/mutating/" + (i % 5 == 4 ? "stutter" : "ok")));
             }
             for (int i = 0; i < atOnce; i++) {
                 kept(ids.get(i), "mutating", join(all.get(i)));
--- a/src/test/java/bramblespool/role/Scene.java
+++ b/src/test/java/bramblespool/role/Scene.java
@@ -44,7 +44,9 @@
     static final int GUARD_S = Integer.getInteger("guard", 120);
     /** A loopback address of this process alone, so that nobody else takes a port between two listeners. */
     static final String IP = "127." + (1 + ProcessHandle.current().pid() / 62500 % 250) + "."
-            + (ProcessHandle.current().pid() / 250 % 250) + "." + (1 + ProcessHandle.current().pid() % 250);
+            + (ProcessHandle.current().pid() / 250 % 250) + "."
+            + (1 + ProcessHandle.current().pid() % 250);
+
     private static final long NEVER_MS = 1_000_000_000;
     private static final Loop LOOP = loop();
 
@@ -58,10 +60,10 @@
 
     /** Stands still until it is told to go on. */
     static final class HeldClock implements Clock {
-        private record Due(long at, long order, Runnable task) {
-        }
+        private record Due(long at, long order, Runnable task) {}
 
-        private final PriorityQueue<Due> waiting = new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+        private final PriorityQueue<Due> waiting =
+                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
         private final SplittableRandom chance = new SplittableRandom(7);
         private long now = 1_000_000;
         private long orders;
@@ -117,11 +119,14 @@
     final String peer;
 
     Scene() throws Exception {
-        Config config = Config.compile(SimMesh.document(3, 0, "x").replace(
-                "[\"r\",\"x.example\",\"/x/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]",
-                route("SERVER", "mutating", "desk") + "," + route("SERVER", "idempotent", "desk") + ","
-                + route("PEER", "mutating", "shop") + "," + route("PEER", "idempotent", "shop"))
-                .replace("[\"desk\",\"/health\"", "[\"shop\",\"/health\",100,\"h1\",false,\"3s\",13.0],[\"desk\",\"/health\""));
+        Config config = Config.compile(SimMesh.document(3, 0, "x")
+                .replace(
+                        "[\"r\",\"x.example\",\"/x/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]",
+                        route("SERVER", "mutating", "desk") + "," + route("SERVER", "idempotent", "desk") + ","
+                                + route("PEER", "mutating", "shop") + "," + route("PEER", "idempotent", "shop"))
+                .replace(
+                        "[\"desk\",\"/health\"",
+                        "[\"shop\",\"/health\",100,\"h1\",false,\"3s\",13.0],[\"desk\",\"/health\""));
         List<ObjectNode> doors = new ArrayList<>();
         String first = null;
         for (int i = 0; i < 2; i++) {
@@ -131,8 +136,15 @@
             String at = listen(p, on(() -> {
                 core.beat(new Beat("i-1", "desk", server, "z", 8, false, 0, 1));
                 Upstream upstream = new Upstream(LOOP, p.buffers());
-                return new Inbound(clock, core.shadow, core.gates, new Courier(clock, upstream, null, NEVER_MS, NEVER_MS),
-                        p.buffers(), "desk", (from, mark) -> { }, () -> false);
+                return new Inbound(
+                        clock,
+                        core.shadow,
+                        core.gates,
+                        new Courier(clock, upstream, null, NEVER_MS, NEVER_MS),
+                        p.buffers(),
+                        "desk",
+                        (from, mark) -> {},
+                        () -> false);
             }));
             first = first == null ? at : first;
             doors.add(door(at, "desk"));
@@ -148,16 +160,23 @@
             for (ObjectNode d : doors) {
                 core.fleet.hear(new News.Item(Fleet.SIDE + d.path("inbound").asText(), 1, 1, d));
             }
-            return new Outbound(clock, core, new Courier(clock, upstream, null, NEVER_MS, NEVER_MS), upstream,
-                    p.buffers(), "out", "own", new Upstream.Manner(NEVER_MS, NEVER_MS, Courier.BUFFERED), new Outbound.Doubts() {
+            return new Outbound(
+                    clock,
+                    core,
+                    new Courier(clock, upstream, null, NEVER_MS, NEVER_MS),
+                    upstream,
+                    p.buffers(),
+                    "out",
+                    "own",
+                    new Upstream.Manner(NEVER_MS, NEVER_MS, Courier.BUFFERED),
+                    new Outbound.Doubts() {
                         @Override
-                        public void silent(Fleet.Peer peer) {
-                        }
+                        public void silent(Fleet.Peer peer) {}
 
                         @Override
-                        public void behind() {
-                        }
-                    }, Log.silent());
+                        public void behind() {}
+                    },
+                    Log.silent());
         }));
     }
 
@@ -167,8 +186,17 @@
     }
 
     private static ObjectNode door(String inbound, String target) {
-        ObjectNode b = JsonNodeFactory.instance.objectNode().put("peer", inbound).put("inbound", inbound).put("zone", "z");
-        b.putArray("doors").addObject().put("target", target).put("servers", "i-1").put("capacity", 8).put("open", true);
+        ObjectNode b = JsonNodeFactory.instance
+                .objectNode()
+                .put("peer", inbound)
+                .put("inbound", inbound)
+                .put("zone", "z");
+        b.putArray("doors")
+                .addObject()
+                .put("target", target)
+                .put("servers", "i-1")
+                .put("capacity", 8)
+                .put("open", true);
         return b;
     }
 
@@ -225,7 +253,8 @@
                 memoryMb = 0
                 %5$s                """.formatted(node, IP, app, target, SimMesh.BOUNDS), "test");
         return on(() -> {
-            WeftCore core = new WeftCore(s, clock, (to, kind, body, within, answer) -> answer.accept(null), Log.silent());
+            WeftCore core =
+                    new WeftCore(s, clock, (to, kind, body, within, answer) -> answer.accept(null), Log.silent());
             core.shadow.adopt(config, true);
             return core;
         });
@@ -273,7 +302,8 @@
     }
 
     static String request(String id, String path, String more) {
-        return "POST " + path + " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: " + id + "\r\nX-Deadline-Ms: 1500\r\n" + more + "\r\n";
+        return "POST " + path + " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: " + id + "\r\nX-Deadline-Ms: 1500\r\n"
+                + more + "\r\n";
     }
 
     /** Sends a small request on a connection of its own; what comes of it. */
--- a/src/test/java/bramblespool/role/StandIn.java
+++ b/src/test/java/bramblespool/role/StandIn.java
@@ -21,7 +21,10 @@
     /** Which hop it is the end of: how it names a request, and what else its answers say. */
     enum Hop {
         SERVER("X-Attempt-Id", "X-Server-Seal: s\r\n", "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\n"),
-        PEER("X-Attempt-Id", "X-Server-Seal: s\r\nX-Spool-Verdict: a\r\n", "HTTP/1.1 503 No\r\nX-Spool-Verdict: n\r\nX-Spool-Why: full\r\n"),
+        PEER(
+                "X-Attempt-Id",
+                "X-Server-Seal: s\r\nX-Spool-Verdict: a\r\n",
+                "HTTP/1.1 503 No\r\nX-Spool-Verdict: n\r\nX-Spool-Why: full\r\n"),
         MESSAGE("X-Spool-Call", "", "HTTP/1.1 503 No\r\n");
 
         final String id;
@@ -36,8 +39,7 @@
     }
 
     /** A request as it came; {@code whole}: with its body, which is null where that was never whole. */
-    record Arrival(String id, int connection, String body) {
-    }
+    record Arrival(String id, int connection, String body) {}
 
     /** What several ends of one hop have seen, and the latches by which a test goes along with them. */
     static final class Book {
@@ -49,6 +51,7 @@
         final CountDownLatch go = new CountDownLatch(1);
         /** The end at which the fault was committed has nothing more to do for it. */
         final CountDownLatch over = new CountDownLatch(1);
+
         private final Map<String, Boolean> known = new ConcurrentHashMap<>();
         private final AtomicInteger connections = new AtomicInteger();
 
@@ -58,7 +61,10 @@
 
         /** The connections on which a request came, in the order of its arrivals. */
         List<Integer> connectionsOf(String id) {
-            return arrivals.stream().filter(a -> a.id.equals(id)).map(Arrival::connection).toList();
+            return arrivals.stream()
+                    .filter(a -> a.id.equals(id))
+                    .map(Arrival::connection)
+                    .toList();
         }
 
         static void await(CountDownLatch latch) {
@@ -109,13 +115,15 @@
     }
 
     private static void daemon(Work work) {
-        Thread t = new Thread(() -> {
-            try {
-                work.run();
-            } catch (IOException e) {
-                // The connection, or the listening, is over.
-            }
-        }, "stand-in");
+        Thread t = new Thread(
+                () -> {
+                    try {
+                        work.run();
+                    } catch (IOException e) {
+                        // The connection, or the listening, is over.
+                    }
+                },
+                "stand-in");
         t.setDaemon(true);
         t.start();
     }
@@ -130,7 +138,8 @@
                 String path = head.substring(head.indexOf(' ') + 1, head.indexOf(" HTTP"));
                 String named = path.substring(path.lastIndexOf('/') + 1);
                 boolean first = book.known.put(id, true) == null;
-                String fault = first || hop == Hop.MESSAGE || named.endsWith("Always") ? named.replace("Always", "") : "ok";
+                String fault =
+                        first || hop == Hop.MESSAGE || named.endsWith("Always") ? named.replace("Always", "") : "ok";
                 boolean early = fault.startsWith("early");
                 book.arrivals.add(new Arrival(id, connection, early ? null : body(s.getInputStream(), head)));
                 boolean runs = !fault.endsWith("efused") && !fault.startsWith("frozen");
@@ -201,11 +210,13 @@
             case "garbage", "earlyGarbage" -> "\u0001\u0002 nonsense\r\n\r\n";
             case "twoLengths" -> ok.replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\n");
             case "shortThenLong" -> ok.replace("Content-Length", "Content-Length: 3\r\nContent-Length");
-            case "lengthAndChunks" -> ok.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n") + "\r\n0\r\n\r\n";
+            case "lengthAndChunks" ->
+                ok.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n") + "\r\n0\r\n\r\n";
             case "noLength" -> ok.replace("Content-Length", "X-Length");
             case "longCut" -> ok.replace("Length: ", "Length: 99999") + "x".repeat(200_000);
-            case "longChunksCut" -> ok.substring(0, ok.indexOf("Content-Length")) + "Transfer-Encoding: chunked\r\n\r\n30d40\r\n"
-                    + "x".repeat(200_000) + "\r\n";
+            case "longChunksCut" ->
+                ok.substring(0, ok.indexOf("Content-Length")) + "Transfer-Encoding: chunked\r\n\r\n30d40\r\n"
+                        + "x".repeat(200_000) + "\r\n";
             case "interim" -> ok.replace("200 OK", "103 Early");
             default -> ok;
         };
@@ -213,7 +224,7 @@
 
     static String head(InputStream in) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int last = 0; last != 0x0d0a0d0a;) {
+        for (int last = 0; last != 0x0d0a0d0a; ) {
             int c = in.read();
             if (c < 0) {
                 throw new EOFException();
--- a/src/test/java/bramblespool/sim/SimMesh.java
+++ b/src/test/java/bramblespool/sim/SimMesh.java
@@ -131,11 +131,33 @@
                 front = "%s:8004"
                 [limits]
                 memoryMb = 0
-                %s                """.formatted(helm ? "helm" : hem ? "hem" : "weft", last, helm ? "core" : hem ? "edge" : "sidecar", ip, zone(last - 1),
-                seeds.stream().map(s -> '"' + s + '"').reduce((a, b) -> a + "," + b).orElse(""), bootstrap, ip,
-                platform == null || metered ? "static" : "platform",
-                metered ? "duties = [\"metering\"]\ndutyPerS = 50.0" : "",
-                String.join("\n", Arrays.stream(ZONES).limit(zones).map(z -> z + " = \"r\"").toList()), losses, ip, ip, ip, ip, ip, BOUNDS);
+                %s                """.formatted(
+                        helm ? "helm" : hem ? "hem" : "weft",
+                        last,
+                        helm ? "core" : hem ? "edge" : "sidecar",
+                        ip,
+                        zone(last - 1),
+                        seeds.stream()
+                                .map(s -> '"' + s + '"')
+                                .reduce((a, b) -> a + "," + b)
+                                .orElse(""),
+                        bootstrap,
+                        ip,
+                        platform == null || metered ? "static" : "platform",
+                        metered ? "duties = [\"metering\"]\ndutyPerS = 50.0" : "",
+                        String.join(
+                                "\n",
+                                Arrays.stream(ZONES)
+                                        .limit(zones)
+                                        .map(z -> z + " = \"r\"")
+                                        .toList()),
+                        losses,
+                        ip,
+                        ip,
+                        ip,
+                        ip,
+                        ip,
+                        BOUNDS);
         try {
             return Settings.parse(text, "simulated");
         } catch (Settings.Unfit e) {
@@ -146,8 +168,14 @@
     public void startHelm(String peer, boolean bootstrap) {
         SimWorld.Machine m = world.machine(peer);
         m.boot();
-        HelmCore h = new HelmCore(settings(peer, seeds, bootstrap), m.disk, "i" + ++incarnations, m, m,
-                platform == null ? null : platform.seenBy(m), Log.silent());
+        HelmCore h = new HelmCore(
+                settings(peer, seeds, bootstrap),
+                m.disk,
+                "i" + ++incarnations,
+                m,
+                m,
+                platform == null ? null : platform.seenBy(m),
+                Log.silent());
         m.serve(h);
         helms.put(peer, h);
         h.start();
@@ -162,8 +190,10 @@
         WeftCore w = startSide(peer, wefts);
         SimWorld.Machine m = world.machine(peer);
         String id = "s-" + peer + "-" + ++beats;
-        m.every(1500, () -> w.beat(new Beat(id, "desk", peer.substring(0, peer.indexOf(':')) + ":9000", "a", 6, false, 0,
-                ++beats)));
+        m.every(
+                1500,
+                () -> w.beat(new Beat(
+                        id, "desk", peer.substring(0, peer.indexOf(':')) + ":9000", "a", 6, false, 0, ++beats)));
     }
 
     public void startHem(String peer) {
@@ -219,8 +249,12 @@
     public Orders.Change large(long epoch, long base, int routes) {
         StringBuilder rows = new StringBuilder();
         for (int i = 0; i < routes; i++) {
-            rows.append(i == 0 ? "" : ",").append("[\"r").append(i).append("\",\"x.example\",\"/")
-                    .append(Long.toHexString(world.random.nextLong())).append("/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]");
+            rows.append(i == 0 ? "" : ",")
+                    .append("[\"r")
+                    .append(i)
+                    .append("\",\"x.example\",\"/")
+                    .append(Long.toHexString(world.random.nextLong()))
+                    .append("/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]");
         }
         String one = document(epoch, base, "one");
         int from = one.indexOf("[[\"r\"") + 1;
--- a/src/test/java/bramblespool/sim/SimPlatform.java
+++ b/src/test/java/bramblespool/sim/SimPlatform.java
@@ -22,7 +22,7 @@
     /** What is answered in place of the list, as status and body; null for the list. */
     public Platform.Page instead;
     /** Run after a page has been handed out, with the peer address of who asked. */
-    public java.util.function.Consumer<String> served = peer -> { };
+    public java.util.function.Consumer<String> served = peer -> {};
 
     public void add(String id, String target, String zone) {
         list.put(id, new Server(id, target, "10.3.0." + (list.size() + 1) + ":80", zone, 4, false));
@@ -45,7 +45,12 @@
             }
 
             @Override
-            public void usage(String holder, long fence, String report, long withinMs, java.util.function.Consumer<Integer> code) {
+            public void usage(
+                    String holder,
+                    long fence,
+                    String report,
+                    long withinMs,
+                    java.util.function.Consumer<Integer> code) {
                 boolean[] over = new boolean[1];
                 java.util.function.Consumer<Integer> once = c -> {
                     if (!over[0]) {
@@ -66,16 +71,17 @@
     }
 
     /** One call as the platform saw it. */
-    public record Call(long at, String holder, long fence, long window, String report, int code) {
-    }
+    public record Call(long at, String holder, long fence, long window, String report, int code) {}
 
     public final List<Call> reports = new ArrayList<>();
     public final Map<Long, String> accepted = new java.util.TreeMap<>();
     /** How long a call takes to arrive; what is answered in place of taking it (0: nothing), or null. */
     public long slowMs;
+
     public java.util.function.Supplier<Integer> answer;
     /** Whether a report is taken and its answer lost. */
     public java.util.function.BooleanSupplier lost = () -> false;
+
     private long highest;
 
     private int reported(String holder, long fence, String report, long at) {
@@ -97,11 +103,22 @@
         StringBuilder b = new StringBuilder("{\"servers\":{\"" + zone + "\":[");
         for (int i = from; i < Math.min(of.size(), from + pageSize); i++) {
             Server s = of.get(i);
-            b.append(i > from ? "," : "").append("{\"id\":\"").append(s.id).append("\",\"target\":\"").append(s.target)
-                    .append("\",\"address\":\"").append(s.address).append("\",\"epoch\":\"v1\",\"capacity\":").append(s.capacity)
-                    .append(",\"state\":\"").append(s.draining ? "draining" : "ready").append("\",\"warmupLeft\":\"0ms\"}");
+            b.append(i > from ? "," : "")
+                    .append("{\"id\":\"")
+                    .append(s.id)
+                    .append("\",\"target\":\"")
+                    .append(s.target)
+                    .append("\",\"address\":\"")
+                    .append(s.address)
+                    .append("\",\"epoch\":\"v1\",\"capacity\":")
+                    .append(s.capacity)
+                    .append(",\"state\":\"")
+                    .append(s.draining ? "draining" : "ready")
+                    .append("\",\"warmupLeft\":\"0ms\"}");
         }
-        b.append("]},\"nextToken\":").append(from + pageSize < of.size() ? "\"" + (from + pageSize) + "\"" : "null").append('}');
+        b.append("]},\"nextToken\":")
+                .append(from + pageSize < of.size() ? "\"" + (from + pageSize) + "\"" : "null")
+                .append('}');
         return new Platform.Page(200, b.toString().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/bramblespool/sim/SimWorld.java
+++ b/src/test/java/bramblespool/sim/SimWorld.java
@@ -23,6 +23,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     /** The first pause before a message that met a cut is sent again, and the longest. */
     private static final long RESEND_MS = 200;
+
     private static final long RESENT_MS = 7000;
 
     private record Event(long at, long order, Runnable task) implements Comparable<Event> {
@@ -40,10 +41,12 @@
     private long step;
     /** The share of messages, and of answers, that are lost, or that arrive twice; how much later than others one may be. */
     public double lose;
+
     public double twice;
     public long spreadMs;
     /** Whether the length of messages matters: to a link's rate, to a processor's work or to whoever counts bytes. */
     public boolean weighs = true;
+
     private boolean repeats;
     /** The share of what meets a cut that is sent again, as TCP does, until it gets through. */
     public double resent;
@@ -59,7 +62,7 @@
         void wrote(Machine at, Vault.Change change, Vault.Saved before, Vault.Saved after);
     }
 
-    public Runnable afterEach = () -> { };
+    public Runnable afterEach = () -> {};
     public long messages;
     public long bytes;
     /** Keeps a message in the net, which may be delivered at any later time or never. */
@@ -139,9 +142,11 @@
         public double linkRate;
         /** Milliseconds of its processor for one message, and for each of its kilobytes. */
         public double messageMs;
+
         public double kilobyteMs;
         /** Messages it has taken or answered, and the processor time that took. */
         public long handled;
+
         public long sentBytes;
         public double worked;
         private double outFree;
@@ -152,6 +157,7 @@
         private final Set<String> cutTo = new HashSet<>();
         /** Without power: nobody says that nobody is here. */
         public boolean dark;
+
         private int life;
         private boolean up;
         private Service service;
@@ -251,7 +257,8 @@
                 if (off[0]) {
                     return;
                 }
-                long wait = timersFirst && busyUntil <= frozenUntil + 1 ? frozenUntil - now
+                long wait = timersFirst && busyUntil <= frozenUntil + 1
+                        ? frozenUntil - now
                         : Math.max((long) (busyUntil - now), frozenUntil - now);
                 if (wait > 0) {
                     timer(wait, task, off);
@@ -314,7 +321,11 @@
                     Letter answered = new Letter(out);
                     to.sentBytes += answered.length;
                     count(kind, 0, answered.length);
-                    travel(to, peer, answered.length, () -> handle(answered.length, () -> back(caller, once, answered)));
+                    travel(
+                            to,
+                            peer,
+                            answered.length,
+                            () -> handle(answered.length, () -> back(caller, once, answered)));
                 });
             });
         }
@@ -400,12 +411,14 @@
         private final ArrayDeque<Object[]> jobs = new ArrayDeque<>();
         /** Milliseconds that a sync takes beyond the usual. */
         public long slowMs;
+
         private long waitingSince = -1;
         public boolean full;
         /** Until when it does nothing at all. */
         public long hangsUntil;
         /** Whether a loss of power may take all of a disk on which nothing was ever said to be durable. */
         public boolean tears;
+
         private boolean promised;
 
         private Disk(Machine machine) {
@@ -460,8 +473,7 @@
         }
 
         @Override
-        public void fade(int parts) {
-        }
+        public void fade(int parts) {}
 
         private void add(Object job, Runnable durable) {
             jobs.add(new Object[] {job, durable});
--- a/src/test/java/bramblespool/state/VaultTest.java
+++ b/src/test/java/bramblespool/state/VaultTest.java
@@ -57,6 +57,7 @@
 
     @TempDir
     Path dir;
+
     private final ByteArrayOutputStream said = new ByteArrayOutputStream();
     private final Log log = new Log("n", new PrintStream(said, true), Log.Level.INFO);
     private int images;
@@ -97,13 +98,15 @@
             return now;
         }
         int kept = random.nextInt(4);
-        int length = random.nextBoolean() ? now.length
+        int length = random.nextBoolean()
+                ? now.length
                 : Math.min(old.length, now.length) + random.nextInt(Math.abs(old.length - now.length) + 1);
         byte[] out = Arrays.copyOf(old, length);
         for (int at = 0; at < length; at += SECTOR) {
             int end = Math.min(length, at + SECTOR);
             // Mostly there, mostly missing, or either; and now and then torn.
-            boolean there = kept == 0 ? random.nextInt(20) > 0 : kept == 1 ? random.nextInt(20) == 0 : random.nextBoolean();
+            boolean there =
+                    kept == 0 ? random.nextInt(20) > 0 : kept == 1 ? random.nextInt(20) == 0 : random.nextBoolean();
             int until = random.nextInt(10) == 0 ? at + random.nextInt(end - at) : there ? end : at;
             if (until > at && at < now.length) {
                 System.arraycopy(now, at, out, at, Math.min(until, now.length) - at);
@@ -185,16 +188,13 @@
         }
 
         @Override
-        void sync(String name) {
-        }
+        void sync(String name) {}
 
         @Override
-        void sync() {
-        }
+        void sync() {}
     }
 
-    private record Seen(Saved saved, List<Kept> kept, boolean setAside) {
-    }
+    private record Seen(Saved saved, List<Kept> kept, boolean setAside) {}
 
     /** Opens a disk that holds this. */
     private Seen open(Map<String, byte[]> image) throws Exception {
@@ -216,7 +216,7 @@
     }
 
     private static SqliteVault vault(Folder folder, Log log) {
-        return new SqliteVault(folder, Runnable::run, System::nanoTime, log, () -> { }, () -> {
+        return new SqliteVault(folder, Runnable::run, System::nanoTime, log, () -> {}, () -> {
             throw new AssertionError("it waits");
         });
     }
@@ -251,7 +251,9 @@
         }
 
         long last() {
-            return saved.entries().isEmpty() ? saved.snapshot().index() : saved.entries().get(saved.entries().size() - 1).index();
+            return saved.entries().isEmpty()
+                    ? saved.snapshot().index()
+                    : saved.entries().get(saved.entries().size() - 1).index();
         }
 
         void take(Change c) {
@@ -263,7 +265,13 @@
                 entries.removeIf(e -> e.index() <= c.snapshot().index());
             }
             entries.addAll(c.append());
-            saved = new Saved("abc", c.term(), c.vote(), c.commit(), c.snapshot() != null ? c.snapshot() : saved.snapshot(), entries);
+            saved = new Saved(
+                    "abc",
+                    c.term(),
+                    c.vote(),
+                    c.commit(),
+                    c.snapshot() != null ? c.snapshot() : saved.snapshot(),
+                    entries);
         }
 
         /** Entries added, agreed, taken back, folded. */
@@ -274,7 +282,11 @@
             long base = saved.snapshot() == null ? 0 : saved.snapshot().index();
             Snapshot fold = null;
             if (commit > base + 6 && random.nextInt(3) == 0) {
-                fold = new Snapshot(commit, saved.entries().get((int) (commit - base) - 1).term(), List.of("m", "n"), text(random, 9000));
+                fold = new Snapshot(
+                        commit,
+                        saved.entries().get((int) (commit - base) - 1).term(),
+                        List.of("m", "n"),
+                        text(random, 9000));
             }
             List<Entry> append = new ArrayList<>();
             for (int i = random.nextInt(4); i > 0; i--) {
@@ -338,7 +350,8 @@
         for (int step = 0; step < 40; step++) {
             Seen old = model.seen();
             if (random.nextInt(4) == 0) {
-                List<Kept> words = List.of(new Kept("r" + step, "1.a", "1.a", Model.text(random, 900)), new Kept("", null, null, "7"));
+                List<Kept> words = List.of(
+                        new Kept("r" + step, "1.a", "1.a", Model.text(random, 900)), new Kept("", null, null, "7"));
                 model.kept.addAll(words);
                 keep(v, words);
             } else {
@@ -348,7 +361,9 @@
             }
             Moment after = disk.acknowledged();
             moved += Arrays.equals(before.now.get(DB), after.now.get(DB)) ? 0 : 1;
-            begun += Arrays.equals(Arrays.copyOf(before.now.get(WAL), 32), Arrays.copyOf(after.now.get(WAL), 32)) ? 0 : 1;
+            begun += Arrays.equals(Arrays.copyOf(before.now.get(WAL), 32), Arrays.copyOf(after.now.get(WAL), 32))
+                    ? 0
+                    : 1;
             for (int i = 0; i < 4; i++) {
                 Seen seen = open(during(before, after, random).lose(random));
                 lost += seen.equals(old) ? 1 : 0;
@@ -388,10 +403,22 @@
     void thisOrderOfSyncsIsTheOneThatWasTraced() throws Exception {
         Files.write(dir.resolve(DB), whole);
         SqliteVault v = vault(new Folder(dir), log);
-        Map<String, String> wanted = Map.of("PRAGMA synchronous", "2", "PRAGMA journal_mode", "wal", "PRAGMA locking_mode", "exclusive",
-                "SELECT sqlite_version()", "3.49.1", "PRAGMA application_id", "" + SqliteStore.APPLICATION, "PRAGMA user_version", "1");
+        Map<String, String> wanted = Map.of(
+                "PRAGMA synchronous",
+                "2",
+                "PRAGMA journal_mode",
+                "wal",
+                "PRAGMA locking_mode",
+                "exclusive",
+                "SELECT sqlite_version()",
+                "3.49.1",
+                "PRAGMA application_id",
+                "" + SqliteStore.APPLICATION,
+                "PRAGMA user_version",
+                "1");
         for (Map.Entry<String, String> w : wanted.entrySet()) {
-            try (Statement s = v.store.db.createStatement(); ResultSet r = s.executeQuery(w.getKey())) {
+            try (Statement s = v.store.db.createStatement();
+                    ResultSet r = s.executeQuery(w.getKey())) {
                 assertEquals(w.getValue(), r.getString(1), w.getKey());
             }
         }
@@ -404,7 +431,8 @@
         assertNull(v.load());
         v.found("abc", List.of(new Entry(1, 0, "first")));
         CountDownLatch done = new CountDownLatch(3);
-        v.save(new Change(3, "x", 1, 0, List.of(new Entry(2, 3, "two"), new Entry(3, 3, "three")), null),
+        v.save(
+                new Change(3, "x", 1, 0, List.of(new Entry(2, 3, "two"), new Entry(3, 3, "three")), null),
                 done::countDown);
         v.save(new Change(4, null, 2, 3, List.of(new Entry(3, 4, "other")), null), done::countDown);
         v.save(new Change(4, "y", 2, 0, List.of(), new Snapshot(2, 3, List.of("m"), "{}")), done::countDown);
@@ -412,37 +440,44 @@
         v.close();
         SqliteVault again = new SqliteVault(dir.toString(), Runnable::run, System::nanoTime, Log.silent());
         Saved s = again.load();
-        assertEquals(new Saved("abc", 4, "y", 2, new Snapshot(2, 3, List.of("m"), "{}"),
-                List.of(new Entry(3, 4, "other"))), s);
+        assertEquals(
+                new Saved("abc", 4, "y", 2, new Snapshot(2, 3, List.of("m"), "{}"), List.of(new Entry(3, 4, "other"))),
+                s);
         again.close();
     }
 
     /** SQLite rolls back by itself after some errors, a full disk among them, and not after others. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "PRAGMA max_page_count=5|PRAGMA max_page_count=100000",
-        "CREATE TEMP TRIGGER t BEFORE INSERT ON log BEGIN SELECT RAISE(ABORT, 'no'); END|DROP TRIGGER t"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "PRAGMA max_page_count=5|PRAGMA max_page_count=100000",
+                "CREATE TEMP TRIGGER t BEFORE INSERT ON log BEGIN SELECT RAISE(ABORT, 'no'); END|DROP TRIGGER t"
+            })
     void afterAFailedWriteWritesHoldAgain(String fails, String holds) throws Exception {
         CountDownLatch done = new CountDownLatch(2);
         SqliteVault[] vault = new SqliteVault[1];
         List<String> paused = new ArrayList<>();
-        SqliteVault v = new SqliteVault(new Folder(dir), Runnable::run, System::nanoTime, Log.silent(), () -> { }, () -> {
-            paused.add(done.getCount() + " waiting, failing: " + vault[0].failing());
-            if (paused.size() == 3) {
-                try {
-                    sql(vault[0].store.db, holds);
-                } catch (SQLException e) {
-                    throw new AssertionError(e);
-                }
-            }
-        });
+        SqliteVault v =
+                new SqliteVault(new Folder(dir), Runnable::run, System::nanoTime, Log.silent(), () -> {}, () -> {
+                    paused.add(done.getCount() + " waiting, failing: " + vault[0].failing());
+                    if (paused.size() == 3) {
+                        try {
+                            sql(vault[0].store.db, holds);
+                        } catch (SQLException e) {
+                            throw new AssertionError(e);
+                        }
+                    }
+                });
         vault[0] = v;
         v.found("abc", List.of());
         sql(v.store.db, fails);
         v.save(new Change(1, "x", 0, 0, List.of(new Entry(1, 1, "long ".repeat(10_000))), null), done::countDown);
         v.save(new Change(2, "y", 1, 0, List.of(new Entry(2, 2, "short")), null), done::countDown);
         assertTrue(done.await(120, TimeUnit.SECONDS), "writes hold again by themselves");
-        assertEquals(List.of("2 waiting, failing: true", "2 waiting, failing: true", "2 waiting, failing: true"), paused,
+        assertEquals(
+                List.of("2 waiting, failing: true", "2 waiting, failing: true", "2 waiting, failing: true"),
+                paused,
                 "nothing counts as durable while writes fail");
         assertFalse(v.failing());
         v.close();
@@ -454,7 +489,8 @@
 
     // ---- lost disks
 
-    private static final List<Entry> ENTRIES = List.of(new Entry(2, 1, "two"), new Entry(3, 2, "three".repeat(2000)), new Entry(4, 2, "four"));
+    private static final List<Entry> ENTRIES =
+            List.of(new Entry(2, 1, "two"), new Entry(3, 2, "three".repeat(2000)), new Entry(4, 2, "four"));
 
     private static byte[] whole;
 
@@ -505,8 +541,15 @@
         }),
         OF_ANOTHER(words("PRAGMA application_id=77")),
         OF_ANOTHER_UNMARKED(words("CREATE TABLE notes(x)", "PRAGMA application_id=0", "PRAGMA user_version=0")),
-        OF_ANOTHER_WITH_A_LOG(words("DROP TABLE self", "DROP TABLE snapshot", "DROP TABLE register", "DROP TABLE log",
-                "CREATE TABLE log(line TEXT)", "INSERT INTO log VALUES('x')", "PRAGMA application_id=0", "PRAGMA user_version=0")),
+        OF_ANOTHER_WITH_A_LOG(words(
+                "DROP TABLE self",
+                "DROP TABLE snapshot",
+                "DROP TABLE register",
+                "DROP TABLE log",
+                "CREATE TABLE log(line TEXT)",
+                "INSERT INTO log VALUES('x')",
+                "PRAGMA application_id=0",
+                "PRAGMA user_version=0")),
         NEWER(words("PRAGMA user_version=2")),
         HALF_THERE(words("DELETE FROM self")),
         HALF_THERE_UNMARKED(words("DELETE FROM self", "PRAGMA application_id=0", "PRAGMA user_version=0")),
@@ -515,7 +558,8 @@
         A_GAP(words("DELETE FROM log WHERE idx=2")),
         AGREED_GONE(words("DELETE FROM log WHERE idx>2")),
         ENTRY_TORN(words("UPDATE log SET data='other' WHERE idx=4")),
-        ENTRY_OF_ANOTHER_PLACE(words("DELETE FROM log WHERE idx=2", "UPDATE log SET idx=2 WHERE idx=4", "DELETE FROM log WHERE idx=3")),
+        ENTRY_OF_ANOTHER_PLACE(words(
+                "DELETE FROM log WHERE idx=2", "UPDATE log SET idx=2 WHERE idx=4", "DELETE FROM log WHERE idx=3")),
         TERMS_GO_BACK(words("UPDATE log SET term=0, sum=" + SqliteStore.sum(4, 0, "four") + " WHERE idx=4")),
         TERM_TO_COME(words("UPDATE log SET term=9, sum=" + SqliteStore.sum(4, 9, "four") + " WHERE idx=4")),
         VOTE_TORN(words("UPDATE self SET vote=NULL")),
@@ -534,7 +578,9 @@
     void aDamagedStoreIsALostDisk(Loss loss) throws Exception {
         Files.write(dir.resolve(DB), whole);
         loss.damage.to(dir.resolve(DB));
-        String lost = Files.exists(dir.resolve(DB)) && Files.size(dir.resolve(DB)) > 0 ? "helm.db.aside-1" : "helm.db.aside-1-wal";
+        String lost = Files.exists(dir.resolve(DB)) && Files.size(dir.resolve(DB)) > 0
+                ? "helm.db.aside-1"
+                : "helm.db.aside-1-wal";
         byte[] held = Files.readAllBytes(dir.resolve(lost.endsWith("wal") ? WAL : DB));
         for (int start = 0; start < 2; start++) {
             SqliteVault v = vault(new Folder(dir), log);
@@ -543,7 +589,11 @@
             assertTrue(v.setAside());
             v.close();
         }
-        assertTrue(said.toString().contains("ERROR B503 DISK_SET_ASIDE node=n path=" + dir.resolve("helm.db.aside-1") + " cause="), said::toString);
+        assertTrue(
+                said.toString()
+                        .contains(
+                                "ERROR B503 DISK_SET_ASIDE node=n path=" + dir.resolve("helm.db.aside-1") + " cause="),
+                said::toString);
         assertEquals(1, said.toString().split("B503", -1).length - 1, "said once");
         assertTrue(Arrays.equals(held, Files.readAllBytes(dir.resolve(lost))), "as it was found");
         SqliteVault v = vault(new Folder(dir), log);
@@ -563,23 +613,37 @@
             Files.writeString(dir.resolve(WAL), "nor a log");
             vault(new Folder(dir), log).close();
         }
-        assertEquals(Set.of("helm.db.aside-3", "helm.db.aside-3-wal", "helm.db.aside-4", "helm.db.aside-4-wal"), read(dir).keySet());
+        assertEquals(
+                Set.of("helm.db.aside-3", "helm.db.aside-3-wal", "helm.db.aside-4", "helm.db.aside-4-wal"),
+                read(dir).keySet());
     }
 
     /** Breaks an open store: its table of tables is unreadable from now on, and what is on the disk is as it was. */
     private static void ruin(SqliteVault v) throws SQLException {
-        sql(v.store.db, "PRAGMA writable_schema=ON", "BEGIN", "UPDATE sqlite_schema SET rootpage=rootpage+90000 WHERE name IN('self','log')",
-                "COMMIT", "PRAGMA writable_schema=RESET");
+        sql(
+                v.store.db,
+                "PRAGMA writable_schema=ON",
+                "BEGIN",
+                "UPDATE sqlite_schema SET rootpage=rootpage+90000 WHERE name IN('self','log')",
+                "COMMIT",
+                "PRAGMA writable_schema=RESET");
     }
 
     @Test
     void aStoreFoundDamagedLaterIsUsedNoMore() throws Exception {
         CountDownLatch broken = new CountDownLatch(1);
         Recorder disk = new Recorder(dir);
-        SqliteVault v = new SqliteVault(disk, Runnable::run, System::nanoTime, log, broken::countDown, () -> { });
+        SqliteVault v = new SqliteVault(disk, Runnable::run, System::nanoTime, log, broken::countDown, () -> {});
         v.found("abc", List.of(new Entry(1, 0, "first")));
         save(v, new Change(2, "x", 3, 0, ENTRIES, null));
-        Saved latest = new Saved("abc", 2, "x", 3, null, Stream.concat(Stream.of(new Entry(1, 0, "first")), ENTRIES.stream()).toList());
+        Saved latest = new Saved(
+                "abc",
+                2,
+                "x",
+                3,
+                null,
+                Stream.concat(Stream.of(new Entry(1, 0, "first")), ENTRIES.stream())
+                        .toList());
         Moment whole = disk.acknowledged();
         ruin(v);
         // On the disk it is whole, so that any older state of it would pass for one.
@@ -599,7 +663,9 @@
         for (Moment m : disk.moments) {
             for (int i = 0; i < 8; i++) {
                 Seen seen = open(m.lose(random));
-                assertTrue(seen.equals(aside) || seen.saved != null && seen.saved.equals(latest), () -> "an old state of it: " + seen);
+                assertTrue(
+                        seen.equals(aside) || seen.saved != null && seen.saved.equals(latest),
+                        () -> "an old state of it: " + seen);
             }
         }
         disk.moments.clear();
@@ -652,16 +718,38 @@
     // ---- disks that do not work for a while
 
     @ParameterizedTest
-    @CsvSource({"SQLITE_CORRUPT, true", "SQLITE_CORRUPT_INDEX, true", "SQLITE_NOTADB, true", "SQLITE_FORMAT, true", "SQLITE_IOERR_SHORT_READ, true",
-        "SQLITE_IOERR, false", "SQLITE_IOERR_READ, false", "SQLITE_IOERR_FSYNC, false", "SQLITE_FULL, false", "SQLITE_CANTOPEN, false",
-        "SQLITE_BUSY, false", "SQLITE_LOCKED, false", "SQLITE_READONLY, false", "SQLITE_READONLY_DBMOVED, false", "SQLITE_PERM, false",
-        "SQLITE_NOMEM, false", "SQLITE_PROTOCOL, false", "SQLITE_ERROR, false"})
+    @CsvSource({
+        "SQLITE_CORRUPT, true",
+        "SQLITE_CORRUPT_INDEX, true",
+        "SQLITE_NOTADB, true",
+        "SQLITE_FORMAT, true",
+        "SQLITE_IOERR_SHORT_READ, true",
+        "SQLITE_IOERR, false",
+        "SQLITE_IOERR_READ, false",
+        "SQLITE_IOERR_FSYNC, false",
+        "SQLITE_FULL, false",
+        "SQLITE_CANTOPEN, false",
+        "SQLITE_BUSY, false",
+        "SQLITE_LOCKED, false",
+        "SQLITE_READONLY, false",
+        "SQLITE_READONLY_DBMOVED, false",
+        "SQLITE_PERM, false",
+        "SQLITE_NOMEM, false",
+        "SQLITE_PROTOCOL, false",
+        "SQLITE_ERROR, false"
+    })
     void onlyDamageMakesADiskLost(SQLiteErrorCode code, boolean lost) {
         assertEquals(lost, SqliteStore.lost(new SQLiteException("x", code)));
     }
 
     private enum Hitch {
-        NO_FOLDER, LOCKED, FOLDER_IN_ITS_PLACE, FULL_FOR_THE_LOG, FULL_FOR_NAMES, NO_SYNC, FULL_WHILE_FOUNDING
+        NO_FOLDER,
+        LOCKED,
+        FOLDER_IN_ITS_PLACE,
+        FULL_FOR_THE_LOG,
+        FULL_FOR_NAMES,
+        NO_SYNC,
+        FULL_WHILE_FOUNDING
     }
 
     @ParameterizedTest
@@ -683,7 +771,7 @@
                 Files.move(dir.resolve(DB), away);
                 Files.createDirectory(dir.resolve(DB));
             }
-            default -> { }
+            default -> {}
         }
         boolean[] works = new boolean[1];
         Folder folder = new Folder(dir) {
@@ -719,7 +807,7 @@
         };
         int[] pauses = new int[1];
         Connection holder = other;
-        SqliteVault v = new SqliteVault(folder, Runnable::run, System::nanoTime, log, () -> { }, () -> {
+        SqliteVault v = new SqliteVault(folder, Runnable::run, System::nanoTime, log, () -> {}, () -> {
             if (++pauses[0] < 3) {
                 return;
             }
@@ -732,7 +820,7 @@
                         Files.delete(dir.resolve(DB));
                         Files.move(away, dir.resolve(DB));
                     }
-                    default -> { }
+                    default -> {}
                 }
             } catch (IOException | SQLException e) {
                 throw new AssertionError(e);
@@ -747,7 +835,10 @@
         assertEquals(founds ? 0 : 4, v.load().entries().size());
         assertFalse(v.setAside());
         v.close();
-        assertEquals("B501 B502", said.toString().replaceAll("(?s).*?(B50\\d)[^\\n]*\\n", "$1 ").trim(), said::toString);
+        assertEquals(
+                "B501 B502",
+                said.toString().replaceAll("(?s).*?(B50\\d)[^\\n]*\\n", "$1 ").trim(),
+                said::toString);
     }
 
     // ---- the form before marks and sums
@@ -756,17 +847,30 @@
         "CREATE TABLE self(id INTEGER PRIMARY KEY CHECK(id=1), incarnation TEXT, term INTEGER, vote TEXT, agreed INTEGER)",
         "CREATE TABLE log(idx INTEGER PRIMARY KEY, term INTEGER, data TEXT)",
         "CREATE TABLE register(seq INTEGER PRIMARY KEY, id TEXT, promised TEXT, accepted TEXT, value TEXT)",
-        "CREATE TABLE snapshot(id INTEGER PRIMARY KEY CHECK(id=1), idx INTEGER, term INTEGER, voters TEXT, data TEXT)"};
+        "CREATE TABLE snapshot(id INTEGER PRIMARY KEY CHECK(id=1), idx INTEGER, term INTEGER, voters TEXT, data TEXT)"
+    };
 
     @Test
     void theUnmarkedFormIsTakenOver() throws Exception {
         words(UNMARKED).to(dir.resolve(DB));
-        words("PRAGMA journal_mode=WAL", "INSERT INTO self VALUES(1,'abc',3,NULL,8)",
-                "INSERT INTO snapshot VALUES(1,7,2,'[\"m\"]','{\"ä\":1}')", "INSERT INTO log VALUES(8,3,'eight')",
-                "INSERT INTO register VALUES(5,'r','2.b',NULL,NULL)").to(dir.resolve(DB));
+        words(
+                        "PRAGMA journal_mode=WAL",
+                        "INSERT INTO self VALUES(1,'abc',3,NULL,8)",
+                        "INSERT INTO snapshot VALUES(1,7,2,'[\"m\"]','{\"ä\":1}')",
+                        "INSERT INTO log VALUES(8,3,'eight')",
+                        "INSERT INTO register VALUES(5,'r','2.b',NULL,NULL)")
+                .to(dir.resolve(DB));
         for (int start = 0; start < 2; start++) {
             SqliteVault v = vault(new Folder(dir), log);
-            assertEquals(new Saved("abc", 3, null, 8, new Snapshot(7, 2, List.of("m"), "{\"ä\":1}"), List.of(new Entry(8, 3, "eight"))), v.load());
+            assertEquals(
+                    new Saved(
+                            "abc",
+                            3,
+                            null,
+                            8,
+                            new Snapshot(7, 2, List.of("m"), "{\"ä\":1}"),
+                            List.of(new Entry(8, 3, "eight"))),
+                    v.load());
             assertEquals(List.of(new Kept("r", "2.b", null, null)), v.kept());
             assertFalse(v.setAside());
             v.close();
