--- a/src/test/java/bramblespool/model/Mutants.java
+++ b/src/test/java/bramblespool/model/Mutants.java
@@ -145,7 +145,8 @@
                     "a snapshot forgets what was taken",
                     "AWAY",
                     "state/Ledger.java",
-                    "n.path(\"taken\").fields().forEachRemaining(f -> taken.put(brief(f.getKey()), f.getValue().asLong()));",
+                    "        n.path(\"taken\")\n                .fields()\n"
+                            + "                .forEachRemaining(f -> taken.put(brief(f.getKey()), f.getValue().asLong()));",
                     ""),
             mutant("a snapshot forgets the voters", "AWAY", "raft/RaftLog.java", "votersThen = votersOf(get(i));", ""),
             mutant(
@@ -191,17 +192,14 @@
                     "if (ledger.taken(change.digest())) {",
                     "if (false) {",
                     "coordination/Commit.java",
-                    "boolean taken = ledger.taken(o.change.digest());",
-                    "boolean taken = false;"),
+                    "return ledger.taken(change.digest())",
+                    "return false"),
             mutant(
                     "does not look at the base",
                     "RIVALS",
                     "coordination/Commit.java",
-                    "if (change.base() != ledger.current().epoch()) {",
-                    "if (false) {",
-                    "coordination/Commit.java",
-                    "boolean stale = o.change.base() != ledger.current().epoch();",
-                    "boolean stale = false;",
+                    ": change.base() != epoch ? Orders.Outcome.stale(epoch) : null;",
+                    ": null;",
                     "state/Ledger.java",
                     "candidateBase != current.epoch ||",
                     ""),
@@ -239,8 +237,9 @@
                     "forgets an evacuation",
                     "MIX",
                     "state/Ledger.java",
-                    "case \"evac\" -> evacuations.put(e.path(\"zone\").asText(), new Evacuation(e.path(\"on\").asBoolean(), index));",
-                    "case \"evac\" -> { }"),
+                    "            case \"evac\" ->\n                evacuations.put(\n"
+                            + "                        e.path(\"zone\").asText(), new Evacuation(e.path(\"on\").asBoolean(), index));",
+                    "            case \"evac\" -> { }"),
             mutant(
                     "a side takes an older version",
                     "MIX",
