--- a/src/main/java/bramblespool/Bramblespool.java
+++ b/src/main/java/bramblespool/Bramblespool.java
@@ -1,6 +1,6 @@
 package bramblespool;
 
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
 import java.nio.file.Path;
 
 /** The program. The ordinary start of a role has nothing to parse, and a daemon that was killed is back the sooner. */
@@ -19,7 +19,7 @@
     }
 
     private static void plain(String role) {
-        int code = fromVariable() == null ? noSettings() : Main.run(role, fromVariable(), Log.Level.INFO);
+        int code = fromVariable() == null ? noSettings() : Main.run(role, fromVariable(), EventLog.Level.INFO);
         if (code != Main.OK) {
             System.exit(code);
         }
--- a/src/main/java/bramblespool/Commands.java
+++ b/src/main/java/bramblespool/Commands.java
@@ -1,7 +1,7 @@
 package bramblespool;
 
-import bramblespool.state.Config;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -69,7 +69,7 @@
                 paramLabel = "LEVEL",
                 defaultValue = "INFO",
                 description = "error, warn, info or debug (${DEFAULT-VALUE})")
-        private Log.Level level;
+        private EventLog.Level level;
 
         abstract String role();
 
@@ -137,14 +137,14 @@
                     Settings s = Settings.read(file);
                     System.out.println(file + ": settings of " + s.node() + ", fit for use");
                 } else {
-                    Config c = Config.compile(Files.readString(file));
+                    RoutingConfiguration c = RoutingConfiguration.compile(Files.readString(file));
                     System.out.println(file + ": configuration " + c.epoch + " with " + c.routeCount + " routes and "
                             + c.services.size() + " services, fit for use");
                 }
                 return Main.OK;
-            } catch (Settings.Unfit e) {
+            } catch (Settings.InvalidSettingsException e) {
                 System.err.println("bramblespool: " + e.getMessage());
-            } catch (Config.Invalid e) {
+            } catch (RoutingConfiguration.InvalidConfigurationException e) {
                 System.err.println("bramblespool: " + file + ": " + e.getMessage());
             } catch (IOException e) {
                 System.err.println("bramblespool: " + file + ": cannot be read");
--- a/src/main/java/bramblespool/Main.java
+++ b/src/main/java/bramblespool/Main.java
@@ -4,8 +4,8 @@
 import bramblespool.role.Helm;
 import bramblespool.role.Hem;
 import bramblespool.role.Weft;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
 import bramblespool.state.Settings;
 import bramblespool.transport.Loop;
 import java.io.IOException;
@@ -33,12 +33,12 @@
 
     private final Path file;
     private final Settings settings;
-    private final Log log;
+    private final EventLog log;
     private final Loop loop;
     private Daemon daemon;
     private FileTime seen;
 
-    private Main(Path file, Settings settings, Log log) throws IOException {
+    private Main(Path file, Settings settings, EventLog log) throws IOException {
         this.file = file;
         this.settings = settings;
         this.log = log;
@@ -46,22 +46,22 @@
     }
 
     /** Runs a role until the process is ended; returns only where it could not start. */
-    static int run(String role, Path file, Log.Level level) {
+    static int run(String role, Path file, EventLog.Level level) {
         Settings settings;
         try {
             settings = Settings.read(file);
             String wanted = CLASSES.get(role);
             if (!settings.machineClass().equals(wanted)) {
-                throw new Settings.Unfit(
+                throw new Settings.InvalidSettingsException(
                         file.toString(),
                         java.util.List.of("machineClass: a " + role + " runs on '" + wanted + "' machines, not on '"
                                 + settings.machineClass() + "'"));
             }
-        } catch (Settings.Unfit e) {
+        } catch (Settings.InvalidSettingsException e) {
             System.err.println("bramblespool: " + e.getMessage());
             return UNFIT;
         }
-        Log log = new Log(settings.node(), System.err, level);
+        EventLog log = new EventLog(settings.node(), System.err, level);
         try {
             new Main(file, settings, log).start(role);
             return OK;
@@ -92,7 +92,7 @@
             throw new IOException(
                     failed[0].getMessage() == null ? failed[0].toString() : failed[0].getMessage(), failed[0]);
         }
-        log.say(Event.STARTED, "role", role, "zone", settings.zone());
+        log.log(Event.STARTED, "role", role, "zone", settings.zone());
         Runtime.getRuntime().addShutdownHook(new Thread(null, this::stop, "stop", 256 << 10));
         Signal.handle(new Signal("HUP"), s -> loop.post(this::reload));
         seen = modified();
@@ -124,17 +124,17 @@
         seen = modified();
         try {
             daemon.settings(Settings.read(file));
-            log.say(Event.SETTINGS_RELOADED);
-        } catch (Settings.Unfit e) {
-            log.say(Event.SETTINGS_UNFIT, "why", e.getMessage());
+            log.log(Event.SETTINGS_RELOADED);
+        } catch (Settings.InvalidSettingsException e) {
+            log.log(Event.SETTINGS_INVALID, "cause", e.getMessage());
         }
     }
 
     private void stop() {
         CountDownLatch done = new CountDownLatch(1);
-        long grace = (long) (settings.bounds().grace() * GRACE_SHARE);
+        long grace = (long) (settings.bounds().shutdownGraceMs() * GRACE_SHARE);
         loop.post(() -> {
-            log.say(Event.STOPPING);
+            log.log(Event.STOPPING);
             daemon.stop(grace, done::countDown);
         });
         try {
@@ -142,7 +142,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        log.say(Event.STOPPED);
+        log.log(Event.STOPPED);
         Runtime.getRuntime().halt(OK);
     }
 }
--- a/src/main/java/bramblespool/Rehearsal.java
+++ b/src/main/java/bramblespool/Rehearsal.java
@@ -5,7 +5,7 @@
 import bramblespool.role.Helm;
 import bramblespool.role.Hem;
 import bramblespool.role.Weft;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
 import bramblespool.state.Settings;
 import bramblespool.transport.Loop;
 import bramblespool.transport.Ports;
@@ -59,7 +59,7 @@
     private final int[] port = new int[9];
 
     private Rehearsal() throws IOException {
-        Log log = new Log("rehearsal", System.err, Log.Level.WARN);
+        EventLog log = new EventLog("rehearsal", System.err, EventLog.Level.WARN);
         loop = new Loop(log);
         ports = new Ports(loop, log);
         upstream = new Upstream(loop, ports.buffers());
@@ -169,7 +169,7 @@
     }
 
     private void play(Path dir, Settings helm, Settings weft) throws Exception {
-        Log log = new Log("rehearsal", System.err, Log.Level.WARN);
+        EventLog log = new EventLog("rehearsal", System.err, EventLog.Level.WARN);
         Daemon h = new Helm(helm, loop, log);
         Daemon w = new Weft(weft, loop, log);
         step("the first configuration", () -> post(at(2), "/bramblespool/config/replace", CONFIG.formatted(1, 0)), 200);
@@ -224,22 +224,24 @@
                                         + ":" + port[7] + "\"")
                         .replace(at(2), HELM_IP + ":" + port[2]),
                 "rehearsal");
-        Log log = new Log("rehearsal", System.err, Log.Level.WARN);
+        EventLog log = new EventLog("rehearsal", System.err, EventLog.Level.WARN);
         Daemon h = new Helm(helm, loop, log);
         Daemon e = new Hem(edge, loop, log);
         step(
                 "the gateway's configuration",
-                () -> post(helm.control(), "/bramblespool/config/replace", CONFIG.formatted(1, 0)),
+                () -> post(helm.controlAddress(), "/bramblespool/config/replace", CONFIG.formatted(1, 0)),
                 200);
-        step("the hem's readiness", () -> get(edge.ready(), "/bramblespool/readiness"), 200);
-        step("a request from outside", () -> get(edge.outbound(), "/a/1"), 200);
-        step("a request from outside with a body", () -> post(edge.outbound(), "/b/1", "body"), 200);
+        step("the hem's readiness", () -> get(edge.readinessAddress(), "/bramblespool/readiness"), 200);
+        step("a request from outside", () -> get(edge.outboundAddress(), "/a/1"), 200);
+        step("a request from outside with a body", () -> post(edge.outboundAddress(), "/b/1", "body"), 200);
         end(dir, e, h, helm);
     }
 
     private void end(Path dir, Daemon side, Daemon helm, Settings s) throws Exception {
         CompletableFuture<Void> ended = new CompletableFuture<>();
-        loop.post(() -> side.stop(s.bounds().grace(), () -> helm.stop(s.bounds().grace(), () -> ended.complete(null))));
+        loop.post(() -> side.stop(
+                s.bounds().shutdownGraceMs(),
+                () -> helm.stop(s.bounds().shutdownGraceMs(), () -> ended.complete(null))));
         ended.get(STEP_MS, TimeUnit.MILLISECONDS);
         try (var files = Files.list(dir)) {
             for (Path f : files.toList()) {
--- a/src/main/java/bramblespool/Status.java
+++ b/src/main/java/bramblespool/Status.java
@@ -1,7 +1,7 @@
 package bramblespool;
 
-import bramblespool.state.Fields;
-import bramblespool.state.Log;
+import bramblespool.state.DocumentReader;
+import bramblespool.state.EventLog;
 import bramblespool.transport.HttpWire;
 import bramblespool.transport.Loop;
 import bramblespool.transport.Ports;
@@ -48,12 +48,12 @@
     @Override
     public Integer call() throws IOException {
         for (String a : addresses) {
-            if (!Fields.isAddress(a)) {
+            if (!DocumentReader.isAddress(a)) {
                 System.err.println("bramblespool: '" + a + "' is no address such as 10.1.0.42:7380");
                 return Main.UNFIT;
             }
         }
-        Log log = new Log("status", System.err, Log.Level.ERROR);
+        EventLog log = new EventLog("status", System.err, EventLog.Level.ERROR);
         Loop loop = new Loop(log);
         Ports ports = new Ports(loop, log);
         HttpWire wire = new HttpWire(loop, new Upstream(loop, ports.buffers()), ports.buffers(), timeoutMs, log);
--- a/src/main/java/bramblespool/coordination/Acceptor.java
+++ b/src/main/java/bramblespool/coordination/Acceptor.java
@@ -1,6 +1,6 @@
 package bramblespool.coordination;
 
-import bramblespool.state.Vault;
+import bramblespool.state.DurableStore;
 import bramblespool.transport.Clock;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -41,15 +41,15 @@
     private final ArrayDeque<Expiry> expiries = new ArrayDeque<>();
 
     /** What is loaded from disk lives on for a whole life from now: nobody knows how long this process was away. */
-    Acceptor(Clock clock, long lifeMs, List<Vault.Kept> kept) {
+    Acceptor(Clock clock, long lifeMs, List<DurableStore.StoredRegister> kept) {
         this.clock = clock;
         this.lifeMs = lifeMs;
-        for (Vault.Kept k : kept) {
-            if (!k.id().isEmpty()) {
-                Cell c = cell(k.id());
-                c.promised = Ballot.read(k.promised());
-                c.accepted = Ballot.read(k.accepted());
-                c.value = k.value();
+        for (DurableStore.StoredRegister k : kept) {
+            if (!k.registerId().isEmpty()) {
+                Cell c = cell(k.registerId());
+                c.promised = Ballot.read(k.promisedProposal());
+                c.accepted = Ballot.read(k.acceptedProposal());
+                c.value = k.acceptedValue();
             }
         }
     }
@@ -120,9 +120,9 @@
     }
 
     /** The register as it goes to disk. */
-    Vault.Kept word(String id) {
+    DurableStore.StoredRegister word(String id) {
         Cell c = cells.get(id);
-        return new Vault.Kept(
+        return new DurableStore.StoredRegister(
                 id,
                 c.promised == null ? null : c.promised.written(),
                 c.accepted == null ? null : c.accepted.written(),
--- a/src/main/java/bramblespool/coordination/Admission.java
+++ b/src/main/java/bramblespool/coordination/Admission.java
@@ -1,6 +1,6 @@
 package bramblespool.coordination;
 
-import bramblespool.state.Config;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Wire;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -109,7 +109,7 @@
      */
     public void ask(
             String tenant,
-            Config.Tenant limited,
+            RoutingConfiguration.Tenant limited,
             long epoch,
             String register,
             String claim,
@@ -128,7 +128,7 @@
         if (limited != null) {
             m.put("tenant", tenant)
                     .put("epoch", epoch)
-                    .put("rate", limited.ratePerS())
+                    .put("rate", limited.ratePerSecond())
                     .put("burst", limited.burst());
         }
         if (register != null) {
--- a/src/main/java/bramblespool/coordination/Commit.java
+++ b/src/main/java/bramblespool/coordination/Commit.java
@@ -1,12 +1,12 @@
 package bramblespool.coordination;
 
 import bramblespool.protocol.Orders;
-import bramblespool.raft.Raft;
-import bramblespool.state.Config;
-import bramblespool.state.Ledger;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
-import bramblespool.state.Packed;
+import bramblespool.raft.RaftNode;
+import bramblespool.state.CompressedDocument;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -31,7 +31,7 @@
         /** A third of what the operator allows for each route: the document travels over narrow links, twice if need be. */
         private static final long EACH_ROUTE = 1;
 
-        long distribute(Config config) {
+        long distribute(RoutingConfiguration config) {
             return distribute + config.routeCount * EACH_ROUTE;
         }
 
@@ -44,24 +44,30 @@
 
     private static final int TRIES = 2;
 
-    private final Raft raft;
-    private final Ledger ledger;
+    private final RaftNode raft;
+    private final ReplicatedState ledger;
     private final Cells cells;
     private final Supplier<Set<String>> members;
     private final Clock clock;
     private final Times times;
-    private final Log log;
+    private final EventLog log;
     private final ArrayDeque<Order> queue = new ArrayDeque<>();
     private boolean busy;
     private long lead;
     /** Numbers what is said to the wefts: of what this leader says the later holds. */
     private long round;
 
-    private Config compiled;
+    private RoutingConfiguration compiled;
     private Set<String> unconfirmed = new HashSet<>();
 
     public Commit(
-            Raft raft, Ledger ledger, Cells cells, Supplier<Set<String>> members, Clock clock, Times times, Log log) {
+            RaftNode raft,
+            ReplicatedState ledger,
+            Cells cells,
+            Supplier<Set<String>> members,
+            Clock clock,
+            Times times,
+            EventLog log) {
         this.raft = raft;
         this.ledger = ledger;
         this.cells = cells;
@@ -89,7 +95,7 @@
             busy = true;
             abort(
                     ledger.candidate().epoch(),
-                    Config.stamp(ledger.candidate().packed()),
+                    RoutingConfiguration.stampOf(ledger.candidate().compressedDocument()),
                     "left by the last leader",
                     this::resume);
         } else {
@@ -98,9 +104,9 @@
     }
 
     private void resume() {
-        if (ledger.current().epoch() > 0 && ledger.phase() != Ledger.Phase.MARKED) {
+        if (ledger.current().epoch() > 0 && ledger.phase() != ReplicatedState.Phase.MARKED) {
             busy = true;
-            log.say(Event.COMMIT_TAKEN_OVER, "epoch", ledger.current().epoch(), "phase", ledger.phase());
+            log.log(Event.COMMIT_RECOVERED, "epoch", ledger.current().epoch(), "phase", ledger.phase());
             tagPacket(ledger.current().epoch(), members.get());
         } else {
             next();
@@ -109,7 +115,7 @@
 
     public void submit(Orders.Change change, Consumer<Orders.Outcome> done) {
         Order o = new Order(change, done);
-        if (ledger.taken(change.digest())) {
+        if (ledger.isCommitted(change.digest())) {
             // A repeat need not wait for those before it.
             answer(o, Orders.Outcome.taken(ledger.current().epoch()));
             return;
@@ -134,11 +140,11 @@
             answer(o, decided);
             return;
         }
-        Config config;
+        RoutingConfiguration config;
         try {
             JsonObject whole = change.whole(currentConfig());
-            config = Config.compile(whole, Packed.pack(whole.toString()));
-        } catch (Config.Invalid e) {
+            config = RoutingConfiguration.compile(whole, CompressedDocument.compress(whole.toString()));
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             answer(o, Orders.Outcome.invalid(e.getMessage()));
             return;
         }
@@ -151,17 +157,17 @@
         }
         busy = true;
         long mine = lead;
-        ObjectNode e = Ledger.entry("candidate")
+        ObjectNode e = ReplicatedState.entry("candidate")
                 .put("epoch", config.epoch)
                 .put("base", change.base())
                 .put("digest", change.digest())
-                .put("doc", config.packed);
+                .put("doc", config.compressedDocument);
         raft.propose(e, ok -> {
             if (!ok || mine != lead) {
                 o.done.accept(Orders.Outcome.unclear("the lead was lost"));
                 return;
             }
-            log.say(Event.CANDIDATE, "epoch", config.epoch, "base", change.base());
+            log.log(Event.CONFIGURATION_CANDIDATE_STORED, "epoch", config.epoch, "base", change.base());
             compiled = config;
             distribute(o, config, members.get(), TRIES);
         });
@@ -172,14 +178,14 @@
      * confirmed since that nobody else leads; else there is none, for another leader may have decided more.
      */
     private void answer(Order o, Orders.Outcome outcome) {
-        raft.confirm(ok -> {
+        raft.confirmLeadership(ok -> {
             if (!ok) {
-                log.say(Event.NO_MAJORITY, "status", outcome.status(), "why", outcome.word());
+                log.log(Event.QUORUM_UNCONFIRMED, "status", outcome.status(), "cause", outcome.word());
                 o.done.accept(Orders.Outcome.unclear("no majority confirms it"));
                 return;
             }
             if (outcome.status() != 200) {
-                log.say(Event.CONFIG_REFUSED, "status", outcome.status(), "why", outcome.word());
+                log.log(Event.CONFIGURATION_REJECTED, "status", outcome.status(), "cause", outcome.word());
             }
             o.done.accept(outcome);
         });
@@ -199,18 +205,18 @@
     /** What has been decided on a change already: it was taken, or another version is in force; null where it may yet win. */
     private Orders.Outcome decided(Orders.Change change) {
         long epoch = ledger.current().epoch();
-        return ledger.taken(change.digest())
+        return ledger.isCommitted(change.digest())
                 ? Orders.Outcome.taken(epoch)
                 : change.base() != epoch ? Orders.Outcome.stale(epoch) : null;
     }
 
-    private Config currentConfig() throws Config.Invalid {
-        Ledger.Version v = ledger.current();
-        if (v.packed() == null) {
+    private RoutingConfiguration currentConfig() throws RoutingConfiguration.InvalidConfigurationException {
+        ReplicatedState.Version v = ledger.current();
+        if (v.compressedDocument() == null) {
             return null;
         }
         if (compiled == null || compiled.epoch != v.epoch()) {
-            compiled = Config.unpack(v.packed());
+            compiled = RoutingConfiguration.compileCompressed(v.compressedDocument());
         }
         return compiled;
     }
@@ -219,7 +225,7 @@
         return JsonNodeFactory.instance
                 .objectNode()
                 .put("phase", phase)
-                .put("term", raft.term())
+                .put("term", raft.currentTerm())
                 .put("round", ++round)
                 .put("old", old)
                 .put("new", fresh)
@@ -227,12 +233,12 @@
     }
 
     /** Phase 1, TAG DISTRIBUTION: the candidate and its tags. A missing acknowledgement aborts this try. */
-    private void distribute(Order o, Config config, Set<String> wefts, int triesLeft) {
+    private void distribute(Order o, RoutingConfiguration config, Set<String> wefts, int triesLeft) {
         long mine = lead;
         long within = times.distribute(config);
         ObjectNode m = message(1, ledger.current().epoch(), config.epoch, config.stamp)
                 .put("open", within * triesLeft)
-                .put("doc", config.packed);
+                .put("doc", config.compressedDocument);
         cells.phase(m, wefts, within, acks -> {
             if (mine != lead) {
                 o.done.accept(Orders.Outcome.unclear("the lead was lost"));
@@ -252,7 +258,7 @@
                 return;
             }
             // The try without the silent ones: the others go back first, then the tags are given out anew.
-            log.say(Event.COMMIT_UNCONFIRMED, "epoch", config.epoch, "wefts", silent);
+            log.log(Event.COMMIT_UNCONFIRMED, "epoch", config.epoch, "proxies", silent);
             if (triesLeft <= 1) {
                 decide(o, config, acks.confirmed);
                 return;
@@ -273,9 +279,9 @@
 
     private void abort(long epoch, String stamp, String why, Runnable then) {
         long mine = lead;
-        log.say(Event.COMMIT_ABORTED, "epoch", epoch, "why", why);
+        log.log(Event.COMMIT_ABORTED, "epoch", epoch, "cause", why);
         cells.phase(message(0, ledger.current().epoch(), epoch, stamp), members.get(), times.phase, x -> {});
-        raft.propose(Ledger.entry("abort").put("epoch", epoch), ok -> {
+        raft.propose(ReplicatedState.entry("abort").put("epoch", epoch), ok -> {
             if (ok && mine == lead) {
                 then.run();
             }
@@ -283,16 +289,16 @@
     }
 
     /** The point of no return. */
-    private void decide(Order o, Config config, Set<String> confirmed) {
+    private void decide(Order o, RoutingConfiguration config, Set<String> confirmed) {
         long mine = lead;
         unconfirmed = new HashSet<>(members.get());
         unconfirmed.removeAll(confirmed);
-        raft.propose(Ledger.entry("decide").put("epoch", config.epoch), ok -> {
-            if (!ok || !ledger.taken(o.change.digest())) {
+        raft.propose(ReplicatedState.entry("decide").put("epoch", config.epoch), ok -> {
+            if (!ok || !ledger.isCommitted(o.change.digest())) {
                 o.done.accept(Orders.Outcome.unclear("the lead was lost"));
                 return;
             }
-            log.say(Event.COMMIT_DECIDED, "epoch", config.epoch);
+            log.log(Event.COMMIT_DECIDED, "epoch", config.epoch);
             o.done.accept(Orders.Outcome.taken(config.epoch));
             settleQueue();
             if (mine == lead) {
@@ -325,7 +331,10 @@
                 wefts,
                 1,
                 rest -> raft.propose(
-                        Ledger.entry("phase").put("epoch", epoch).put("phase", Ledger.Phase.SWAPPED.name()), ok -> {
+                        ReplicatedState.entry("phase")
+                                .put("epoch", epoch)
+                                .put("phase", ReplicatedState.Phase.SWAPPED.name()),
+                        ok -> {
                             if (ok && mine == lead) {
                                 mark(epoch, wefts, rest);
                             }
@@ -341,13 +350,16 @@
                 wefts,
                 TRIES,
                 rest -> raft.propose(
-                        Ledger.entry("phase").put("epoch", epoch).put("phase", Ledger.Phase.MARKED.name()), ok -> {
+                        ReplicatedState.entry("phase")
+                                .put("epoch", epoch)
+                                .put("phase", ReplicatedState.Phase.MARKED.name()),
+                        ok -> {
                             if (ok && mine == lead) {
                                 unconfirmed = new HashSet<>(members.get());
                                 unconfirmed.removeAll(wefts);
                                 unconfirmed.addAll(silentAtSwap);
                                 unconfirmed.addAll(rest);
-                                log.say(Event.COMMIT_DONE, "epoch", epoch, "unconfirmed", unconfirmed);
+                                log.log(Event.COMMIT_COMPLETED, "epoch", epoch, "unconfirmed", unconfirmed);
                                 next();
                             }
                         }));
@@ -360,7 +372,7 @@
                 phase,
                 ledger.previous().epoch(),
                 epoch,
-                Config.stamp(ledger.current().packed()));
+                RoutingConfiguration.stampOf(ledger.current().compressedDocument()));
         cells.phase(m, wefts, times.phase, acks -> {
             if (mine != lead) {
                 return;
--- a/src/main/java/bramblespool/coordination/Confirmation.java
+++ b/src/main/java/bramblespool/coordination/Confirmation.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination;
 
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
 import bramblespool.transport.Wire;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import java.util.Collection;
@@ -20,7 +20,7 @@
     private final News news;
     private final Wire wire;
     private final long callMs;
-    private final Log log;
+    private final EventLog log;
     /** Helms that were silent or out of touch since the start. */
     private final Set<String> without = new HashSet<>();
 
@@ -30,7 +30,7 @@
     private long wanted;
 
     /** {@code newest}: the number of the newest version that the news tells of. */
-    Confirmation(Supplier<Set<String>> helms, LongSupplier newest, News news, Wire wire, long callMs, Log log) {
+    Confirmation(Supplier<Set<String>> helms, LongSupplier newest, News news, Wire wire, long callMs, EventLog log) {
         this.helms = helms;
         this.newest = newest;
         this.news = news;
@@ -56,7 +56,7 @@
         if (how == News.Compared.IN_TOUCH) {
             confirmed = true;
             wanted = waived ? 0 : newest.getAsLong();
-            log.say(Event.CONFIRMED, "helm", helm, "epoch", newest.getAsLong());
+            log.log(Event.CONFIGURATION_CONFIRMED, "controller", helm, "epoch", newest.getAsLong());
         } else {
             lacks(helm);
         }
--- a/src/main/java/bramblespool/coordination/Duties.java
+++ b/src/main/java/bramblespool/coordination/Duties.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination;
 
-import bramblespool.raft.Raft;
-import bramblespool.state.Ledger;
+import bramblespool.raft.RaftNode;
+import bramblespool.state.ReplicatedState;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
@@ -11,15 +11,15 @@
 
 /** Hands out the keyed duties as the leader: each key is held by a live helm, and changes hands with a higher fence. */
 final class Duties {
-    private final Raft raft;
-    private final Ledger ledger;
+    private final RaftNode raft;
+    private final ReplicatedState ledger;
     private final Supplier<Collection<String>> keys;
     /** Which keys are held under a right that lapses soon, so that they change hands sooner. */
     private final Predicate<String> leased;
 
     private final Set<String> proposed = new HashSet<>();
 
-    Duties(Raft raft, Ledger ledger, Supplier<Collection<String>> keys, Predicate<String> leased) {
+    Duties(RaftNode raft, ReplicatedState ledger, Supplier<Collection<String>> keys, Predicate<String> leased) {
         this.raft = raft;
         this.ledger = ledger;
         this.keys = keys;
@@ -28,28 +28,29 @@
 
     /** Gives a duty to its holder once more, under a higher fence, where the one named is still in force. */
     void raise(String key, long fence) {
-        Ledger.Duty d = ledger.duties().get(key);
-        if (raft.leads() && d != null && d.fence() == fence && proposed.add(key)) {
-            raft.propose(Ledger.entry("duty").put("key", key).put("holder", d.holder()), ok -> proposed.remove(key));
+        ReplicatedState.SingletonRole d = ledger.singletonRoles().get(key);
+        if (raft.isLeader() && d != null && d.fencingToken() == fence && proposed.add(key)) {
+            raft.propose(
+                    ReplicatedState.entry("duty").put("key", key).put("holder", d.owner()), ok -> proposed.remove(key));
         }
     }
 
     /** One round: what nobody alive holds is given away. */
     void check() {
-        if (!raft.leads()) {
+        if (!raft.isLeader()) {
             proposed.clear();
             return;
         }
-        List<String> all = raft.alive();
-        List<String> withRight = raft.withRight();
+        List<String> all = raft.liveMemberAddresses();
+        List<String> withRight = raft.leaseHolderAddresses();
         for (String key : keys.get()) {
-            Ledger.Duty d = ledger.duties().get(key);
+            ReplicatedState.SingletonRole d = ledger.singletonRoles().get(key);
             List<String> alive = leased.test(key) ? withRight : all;
-            if (d != null && alive.contains(d.holder()) || !proposed.add(key)) {
+            if (d != null && alive.contains(d.owner()) || !proposed.add(key)) {
                 continue;
             }
             raft.propose(
-                    Ledger.entry("duty").put("key", key).put("holder", Rendezvous.first(key, alive)),
+                    ReplicatedState.entry("duty").put("key", key).put("holder", Rendezvous.first(key, alive)),
                     ok -> proposed.remove(key));
         }
     }
--- a/src/main/java/bramblespool/coordination/Entry.java
+++ b/src/main/java/bramblespool/coordination/Entry.java
@@ -2,9 +2,9 @@
 
 import bramblespool.coordination.Operations.Operation;
 import bramblespool.coordination.Operations.State;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.RoutingConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 /** What a request must get past before it is sent anywhere: its tenant's limit, and the claim of its operation key. */
 public final class Entry {
     /** Whose request it is, and which operation; {@code limited} is null without a limit, {@code register} without a key. */
-    public record Who(String tenant, Config.Tenant limited, long epoch, String register, long print) {
+    public record Who(String tenant, RoutingConfiguration.Tenant limited, long epoch, String register, long print) {
         boolean passes() {
             return limited == null && register == null;
         }
@@ -33,9 +33,9 @@
     private static final long IN_WORK_MS = 100;
 
     private final WeftCore core;
-    private final Log log;
+    private final EventLog log;
 
-    public Entry(WeftCore core, Log log) {
+    public Entry(WeftCore core, EventLog log) {
         this.core = core;
         this.log = log;
     }
@@ -126,7 +126,7 @@
         if (a.verdict() == Admission.Verdict.OVER) {
             taker.refuse(429, a.waitMs(), "over the limit");
         } else {
-            log.say(Event.NOT_ADMITTED, "why", a.verdict());
+            log.log(Event.ADMISSION_UNAVAILABLE, "cause", a.verdict());
             taker.refuse(503, a.waitMs(), "nobody could admit it");
         }
     }
@@ -148,7 +148,7 @@
             } else if (state.equals("DIFFERS")) {
                 taker.refuse(422, 0, "the key is another request's");
             } else {
-                log.say(Event.KEY_HELD, "by", stands, "state", state.isEmpty() ? "silent" : state);
+                log.log(Event.IDEMPOTENCY_KEY_IN_USE, "owner", stands, "state", state.isEmpty() ? "silent" : state);
                 taker.refuse(409, state.equals(State.RUNNING.name()) ? IN_WORK_MS : 0, "claimed elsewhere");
             }
         });
--- a/src/main/java/bramblespool/coordination/Fleet.java
+++ b/src/main/java/bramblespool/coordination/Fleet.java
@@ -114,7 +114,7 @@
                 out.add(i.body().path("peer").asText());
             }
         }
-        settings.seeds().forEach(s -> out.add(settings.peerOf(s)));
+        settings.seedPeers().forEach(s -> out.add(settings.peerAddressOf(s)));
         return out;
     }
 
--- a/src/main/java/bramblespool/coordination/Gate.java
+++ b/src/main/java/bramblespool/coordination/Gate.java
@@ -1,8 +1,8 @@
 package bramblespool.coordination;
 
 import bramblespool.protocol.Beat;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
 import it.unimi.dsi.fastutil.longs.LongArrayFIFOQueue;
@@ -31,13 +31,14 @@
         /** For a server that beats to the daemon beside it. */
         public static Rules beating(Settings s) {
             Settings.Bounds b = s.bounds();
-            return new Rules(s.beat(), b.drain() / 3, b.drain(), b.warmExcess(), b.warmSlack());
+            return new Rules(
+                    s.heartbeatIntervalMs(), b.drainMs() / 3, b.drainMs(), b.slowStartExcess(), b.slowStartAllowance());
         }
 
         /** For a server known from a list: what the list shows is late already. */
         public static Rules listed(Settings s) {
             Settings.Bounds b = s.bounds();
-            return new Rules(0, 0, b.drain(), b.warmExcess(), b.warmSlack());
+            return new Rules(0, 0, b.drainMs(), b.slowStartExcess(), b.slowStartAllowance());
         }
 
         private boolean beats() {
@@ -132,7 +133,7 @@
     private static final double SILENT_BEATS = 2.4;
 
     private final Clock clock;
-    private final Log log;
+    private final EventLog log;
     private final Rules rules;
     private final String address;
     private final String target;
@@ -169,7 +170,7 @@
     private int slowTold;
     private Clock.Timer warmTimer;
 
-    public Gate(Clock clock, Rules rules, String address, String target, Runnable changed, Log log) {
+    public Gate(Clock clock, Rules rules, String address, String target, Runnable changed, EventLog log) {
         this.clock = clock;
         this.rules = rules;
         this.address = address;
@@ -209,9 +210,9 @@
             if (followed.remove(id) == null) {
                 arrivals.clear();
             }
-            log.say(Event.SERVER_NEW, "server", id, "capacity", b.capacity(), "cold", b.warmupLeft());
+            log.log(Event.SERVER_REGISTERED, "server", id, "capacity", b.capacity(), "slowStartLeftMs", b.warmupLeft());
         } else if (down) {
-            log.say(Event.SERVER_BACK, "server", id);
+            log.log(Event.SERVER_RECOVERED, "server", id);
         }
         long now = clock.now();
         boolean wasCold = cold(now);
@@ -226,7 +227,7 @@
             draining = true;
             // One that is draining at the first word may have been acknowledged by an earlier life of this process.
             drainingSince = fresh ? now - rules.drain : now;
-            log.say(Event.SERVER_DRAINING, "server", id);
+            log.log(Event.SERVER_DRAINING, "server", id);
         }
         if (news || wasCold != cold(now)) {
             changed.run();
@@ -264,7 +265,7 @@
         if (drains && !draining) {
             draining = true;
             drainingSince = lastBeat;
-            log.say(Event.SERVER_DRAINING, "server", id);
+            log.log(Event.SERVER_DRAINING, "server", id);
         }
         if (news) {
             changed.run();
@@ -277,7 +278,7 @@
         if (!draining) {
             draining = true;
             drainingSince = clock.now();
-            log.say(Event.SERVER_DRAINING, "server", id);
+            log.log(Event.SERVER_DRAINING, "server", id);
             changed.run();
             refuseAll();
         }
@@ -304,7 +305,16 @@
         down = false;
         lastBeat = clock.now();
         coldUntil = warmupLeft > 0 ? lastBeat + warmupLeft : 0;
-        log.say(Event.SERVER_NEW, "server", id, "capacity", slots, "cold", warmupLeft, "by", "probe");
+        log.log(
+                Event.SERVER_REGISTERED,
+                "server",
+                id,
+                "capacity",
+                slots,
+                "slowStartLeftMs",
+                warmupLeft,
+                "source",
+                "probe");
         changed.run();
     }
 
@@ -312,20 +322,20 @@
         followed.remove(which);
         ended.add(which);
         if (which.equals(id)) {
-            gone(Event.SERVER_GONE);
+            gone(Event.SERVER_DEREGISTERED);
         }
     }
 
     /** Its port refused or stayed silent: nothing more goes there until it beats again. */
     public void unreachable(String which) {
         if (which.equals(id) && !down) {
-            gone(Event.SERVER_SILENT);
+            gone(Event.SERVER_UNRESPONSIVE);
         }
     }
 
     private void gone(Event event) {
         if (!down) {
-            log.say(event, "server", id);
+            log.log(event, "server", id);
         }
         down = true;
         downSince = clock.now();
@@ -375,7 +385,7 @@
         long now = clock.now();
         tellHealth();
         if (id != null && !down && rules.beats() && now - lastBeat > rules.beat * SILENT_BEATS) {
-            gone(Event.SERVER_SILENT);
+            gone(Event.SERVER_UNRESPONSIVE);
         } else if (down && !rules.beats() && now - downSince > rules.drain / 4) {
             // Nobody will say that it is back: the next request finds out.
             down = false;
--- a/src/main/java/bramblespool/coordination/Gates.java
+++ b/src/main/java/bramblespool/coordination/Gates.java
@@ -1,6 +1,6 @@
 package bramblespool.coordination;
 
-import bramblespool.state.Config;
+import bramblespool.state.RoutingConfiguration;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -12,7 +12,7 @@
 /** The gates of a data plane daemon, by service: a weft's one, or those of the servers a hem is steward of. */
 public final class Gates {
     private final Map<String, List<Gate>> byTarget = new LinkedHashMap<>();
-    private Config inForce;
+    private RoutingConfiguration inForce;
 
     public void add(Gate g) {
         byTarget.computeIfAbsent(g.target(), t -> new ArrayList<>()).add(g);
@@ -53,14 +53,14 @@
     }
 
     /** The version in force, for the gates there are and for those still to come. */
-    public void warming(Config config) {
+    public void warming(RoutingConfiguration config) {
         inForce = config;
         byTarget.values().forEach(l -> l.forEach(this::warm));
     }
 
     private void warm(Gate g) {
-        Config.Service s = inForce == null ? null : inForce.services.get(g.target());
-        g.warming(s == null ? 0 : s.warmPerS(), s == null ? 0 : s.warmup());
+        RoutingConfiguration.Service s = inForce == null ? null : inForce.services.get(g.target());
+        g.warming(s == null ? 0 : s.slowStartRatePerSecond(), s == null ? 0 : s.slowStartMs());
     }
 
     public int load() {
--- a/src/main/java/bramblespool/coordination/HelmCore.java
+++ b/src/main/java/bramblespool/coordination/HelmCore.java
@@ -1,15 +1,15 @@
 package bramblespool.coordination;
 
 import bramblespool.protocol.Orders;
-import bramblespool.raft.Raft;
+import bramblespool.raft.RaftNode;
+import bramblespool.raft.RaftTimeouts;
 import bramblespool.raft.StateMachine;
-import bramblespool.raft.Times;
-import bramblespool.state.Config;
-import bramblespool.state.Ledger;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.DurableStore;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
-import bramblespool.state.Vault;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Platform;
 import bramblespool.transport.Wire;
@@ -65,11 +65,11 @@
 
     private final Clock clock;
     private final Wire wire;
-    private final Log log;
+    private final EventLog log;
     private Settings settings;
-    private final Ledger ledger = new Ledger();
+    private final ReplicatedState ledger = new ReplicatedState();
     public final News news;
-    public final Raft raft;
+    public final RaftNode raft;
     public final Commit commit;
     public final Registers registers;
     private final Quota quota;
@@ -101,15 +101,21 @@
 
     /** {@code platform}: who keeps the list of servers, or null where they tell of themselves. */
     public HelmCore(
-            Settings settings, Vault vault, String incarnation, Clock clock, Wire wire, Platform platform, Log log) {
+            Settings settings,
+            DurableStore vault,
+            String incarnation,
+            Clock clock,
+            Wire wire,
+            Platform platform,
+            EventLog log) {
         this.settings = settings;
         this.clock = clock;
         this.wire = wire;
         this.log = log;
         Settings.Bounds b = settings.bounds();
-        this.callMs = b.quiet() / CALLS;
+        this.callMs = b.quietPeriodMs() / CALLS;
         this.terms = new Terms(log);
-        this.news = new News(clock, wire, callMs, b.drain() / GATHER, true, new News.Circle() {
+        this.news = new News(clock, wire, callMs, b.drainMs() / GATHER, true, new News.Circle() {
             @Override
             public Collection<String> tell(News.Source from) {
                 // Whoever hears a thing first tells the other cells.
@@ -133,40 +139,42 @@
         });
         news.author(Fleet.HELM + settings.node(), this::tellSelf);
         news.listen(this::heard);
-        this.fresh = vault.load() == null && settings.bootstrap() && !vault.setAside();
+        this.fresh = vault.load() == null && settings.isBootstrap() && !vault.hasQuarantinedDatabase();
         if (vault.load() == null) {
             List<String> founders =
-                    settings.seeds().stream().map(settings::peerOf).toList();
-            boolean founds = fresh && founders.contains(settings.peer());
-            vault.found(founds ? Raft.FOUNDER : incarnation, founds ? List.of(Raft.founding(founders)) : List.of());
-        }
-        Vault.Saved saved = vault.load();
-        String member = settings.peer() + "#" + saved.incarnation();
-        long registerLife = Operations.keeps(b.keyWindow());
+                    settings.seedPeers().stream().map(settings::peerAddressOf).toList();
+            boolean founds = fresh && founders.contains(settings.peerAddress());
+            vault.initialize(
+                    founds ? RaftNode.FOUNDER_INCARNATION : incarnation,
+                    founds ? List.of(RaftNode.foundingEntry(founders)) : List.of());
+        }
+        DurableStore.PersistentState saved = vault.load();
+        String member = settings.peerAddress() + "#" + saved.incarnation();
+        long registerLife = Operations.keeps(b.idempotencyKeyWindowMs());
         this.registers = new Registers(
                 ledger,
                 member,
-                settings.lossMachines() + 1,
+                settings.tolerableMachineLosses() + 1,
                 vault,
                 clock,
                 wire,
-                b.apply() / REGISTER_GATHER,
+                b.applyMs() / REGISTER_GATHER,
                 callMs / 2,
                 registerLife,
                 log);
-        this.slices = new Slices(ledger, registers, member, clock, wire, b.quiet(), registerLife, log);
-        this.quota = new Quota(clock, b.quotaWindow(), b.quotaExcess(), b.quotaSlack());
-        this.raft = new Raft(
+        this.slices = new Slices(ledger, registers, member, clock, wire, b.quietPeriodMs(), registerLife, log);
+        this.quota = new Quota(clock, b.rateLimitWindowMs(), b.rateLimitExcess(), b.rateLimitAllowance());
+        this.raft = new RaftNode(
                 member,
-                settings.control(),
-                Math.max(1, settings.seeds().size()),
-                settings.lossMachines(),
+                settings.controlAddress(),
+                Math.max(1, settings.seedPeers().size()),
+                settings.tolerableMachineLosses(),
                 saved,
                 clock,
                 wire,
                 vault,
                 this,
-                Times.of(b.quiet(), b.catchUp()),
+                RaftTimeouts.of(b.quietPeriodMs(), b.catchUpMs()),
                 log);
         this.commit = new Commit(
                 raft,
@@ -174,16 +182,17 @@
                 this::phase,
                 () -> new HashSet<>(members),
                 clock,
-                Commit.Times.of(b.ack(), b.apply()),
+                Commit.Times.of(b.acknowledgementMs(), b.applyMs()),
                 log);
         if (platform != null && settings.discovery() == Settings.Discovery.PLATFORM) {
             for (String zone : settings.zones().keySet()) {
-                rosters.put(zone, new Roster(zone, clock, platform, wire, this::hems, b.drain() / READS, callMs, log));
+                rosters.put(
+                        zone, new Roster(zone, clock, platform, wire, this::hems, b.drainMs() / READS, callMs, log));
             }
         }
-        this.slack = new Slack(clock, b.retrySlack(), b.retryWindow());
+        this.slack = new Slack(clock, b.retryAllowance(), b.retryWindowMs());
         this.duties = new Duties(raft, ledger, this::keys, Metering.DUTY::equals);
-        this.metering = platform == null || settings.metering() == null
+        this.metering = platform == null || settings.usageReporting() == null
                 ? null
                 : new Metering(
                         settings,
@@ -200,11 +209,11 @@
                         () -> members,
                         callMs / 2,
                         log);
-        this.strain = new Strain(clock, b.quiet() / BEHIND, log);
+        this.strain = new Strain(clock, b.quietPeriodMs() / BEHIND, log);
     }
 
     public void start() {
-        long renew = settings.bounds().quiet() / RENEWALS;
+        long renew = settings.bounds().quietPeriodMs() / RENEWALS;
         tellSelf();
         raft.start();
         strain.start();
@@ -217,7 +226,7 @@
         clock.every(renew, () -> {
             sweep();
             registers.settle();
-            if (toldVoter != ledger.voters().containsKey(raft.self())) {
+            if (toldVoter != ledger.voterSinceIndexes().containsKey(raft.localId())) {
                 tellSelf();
             }
         });
@@ -230,13 +239,13 @@
     }
 
     private void join() {
-        raft.join(helms());
-        clock.after(settings.bounds().quiet() / JOINS, this::join);
+        raft.requestJoin(helms());
+        clock.after(settings.bounds().quietPeriodMs() / JOINS, this::join);
     }
 
     /** The duties there are: those the log knows, and those that were asked for since. */
     private Set<String> keys() {
-        Set<String> out = new TreeSet<>(ledger.duties().keySet());
+        Set<String> out = new TreeSet<>(ledger.singletonRoles().keySet());
         rosters.keySet().forEach(z -> out.add(LIST + z));
         out.addAll(asked);
         if (metering != null) {
@@ -248,16 +257,16 @@
     /** Leases tries of a service's slack: as its owner, or by asking the owner, or the leader to name one. */
     private void lease(JsonNode m, Consumer<ObjectNode> answer) {
         String service = m.path("service").asText();
-        Ledger.Duty d = ledger.duties().get(SLACK + service);
-        String owner = d == null ? raft.leaderId() == null ? null : Raft.addressOf(raft.leaderId()) : d.holder();
-        if (settings.peer().equals(owner)) {
+        ReplicatedState.SingletonRole d = ledger.singletonRoles().get(SLACK + service);
+        String owner = d == null ? raft.leaderId() == null ? null : RaftNode.addressOf(raft.leaderId()) : d.owner();
+        if (settings.peerAddress().equals(owner)) {
             if (d == null && asked.size() < MOST_ASKED) {
                 asked.add(SLACK + service);
             }
             answer.accept(JsonNodeFactory.instance
                     .objectNode()
                     .put("life", slack.lifeMs())
-                    .put("tries", d == null || !raft.inTouch() ? 0 : slack.grant(service, d.fence())));
+                    .put("tries", d == null || !raft.hasLeaderContact() ? 0 : slack.grant(service, d.fencingToken())));
         } else if (owner == null || m.path("passed").asBoolean()) {
             answer.accept(null);
         } else {
@@ -324,13 +333,13 @@
     private ObjectNode orSpare(ObjectNode token, JsonNode m) {
         if (!"none".equals(token.path("verdict").asText())
                 || gone
-                || !ledger.voters().containsKey(raft.self())) {
+                || !ledger.voterSinceIndexes().containsKey(raft.localId())) {
             return token;
         }
         // One more than there are, for a change of voters that has not been heard of here.
         boolean granted = quota.spare(
                 m.path("tenant").asText(),
-                ledger.voters().size() + 1,
+                ledger.voterSinceIndexes().size() + 1,
                 m.path("rate").asDouble(),
                 m.path("burst").asDouble());
         return granted ? JsonNodeFactory.instance.objectNode().put("verdict", "go") : token;
@@ -354,7 +363,7 @@
                 m.path("epoch").asLong(),
                 m.path("rate").asDouble(),
                 m.path("burst").asDouble());
-        out.put("owner", settings.peer()).put("fence", fence);
+        out.put("owner", settings.peerAddress()).put("fence", fence);
         return wait == 0 ? out.put("verdict", "go") : out.put("verdict", "over").put("wait", wait);
     }
 
@@ -380,10 +389,12 @@
 
     private void dutyRound() {
         duties.check();
-        boolean inTouch = raft.inTouch();
+        boolean inTouch = raft.hasLeaderContact();
         rosters.forEach((zone, r) -> {
-            Ledger.Duty d = ledger.duties().get(LIST + zone);
-            r.hold(inTouch && !gone && d != null && d.holder().equals(settings.peer()), d == null ? 0 : d.fence());
+            ReplicatedState.SingletonRole d = ledger.singletonRoles().get(LIST + zone);
+            r.hold(
+                    inTouch && !gone && d != null && d.owner().equals(settings.peerAddress()),
+                    d == null ? 0 : d.fencingToken());
             r.leaderless(!inTouch && !gone && inLine(LIST + zone));
             r.check();
         });
@@ -391,8 +402,9 @@
 
     /** Whether this helm is among the first in line for a key: so many that one of them is left after the losses to be borne. */
     private boolean inLine(String key) {
-        long mine = Rendezvous.weight(key, settings.peer());
-        return helms().stream().filter(h -> Rendezvous.weight(key, h) > mine).count() <= settings.lossMachines();
+        long mine = Rendezvous.weight(key, settings.peerAddress());
+        return helms().stream().filter(h -> Rendezvous.weight(key, h) > mine).count()
+                <= settings.tolerableMachineLosses();
     }
 
     /** The hems whose sessions stand. */
@@ -423,16 +435,16 @@
         settings = fresh;
     }
 
-    public Ledger ledger() {
+    public ReplicatedState ledger() {
         return ledger;
     }
 
     private void tellSelf() {
-        toldVoter = ledger.voters().containsKey(raft == null ? "" : raft.self());
+        toldVoter = ledger.voterSinceIndexes().containsKey(raft == null ? "" : raft.localId());
         news.tell(JsonNodeFactory.instance
                 .objectNode()
-                .put("peer", settings.peer())
-                .put("control", settings.control())
+                .put("peer", settings.peerAddress())
+                .put("control", settings.controlAddress())
                 .put("zone", settings.zone())
                 .put("gone", gone)
                 .put("voter", toldVoter));
@@ -446,7 +458,7 @@
             } else {
                 members.remove(node);
             }
-            if (!i.body().path("helm").asText().equals(settings.peer())) {
+            if (!i.body().path("helm").asText().equals(settings.peerAddress())) {
                 sessions.remove(node);
             }
         }
@@ -454,7 +466,7 @@
 
     private Set<String> helms() {
         Set<String> out = Fleet.helms(news, settings);
-        out.remove(settings.peer());
+        out.remove(settings.peerAddress());
         return out;
     }
 
@@ -497,7 +509,7 @@
             s.n = n;
             s.open = true;
             sessions.put(node, s);
-            log.say(Event.SESSION_OPEN, "weft", node);
+            log.log(Event.SESSION_OPENED, "proxy", node);
             tellSession(node, s);
         }
         s.seen = clock.now();
@@ -512,7 +524,7 @@
 
     /** Whether this helm's news is of late: it hears who leads, or a majority has lately answered it. */
     private boolean inTouch() {
-        return raft.inTouch() && (!raft.leads() || raft.hasRight());
+        return raft.hasLeaderContact() && (!raft.isLeader() || raft.hasLease());
     }
 
     private void tellSession(String node, Session s) {
@@ -522,19 +534,19 @@
                 s.n * 2 + (s.open ? 0 : 1),
                 JsonNodeFactory.instance
                         .objectNode()
-                        .put("helm", settings.peer())
+                        .put("helm", settings.peerAddress())
                         .put("weft", s.peer)
                         .put("open", s.open));
     }
 
     private void close(String node, Session s) {
         s.open = false;
-        log.say(Event.SESSION_CLOSED, "weft", node);
+        log.log(Event.SESSION_CLOSED, "proxy", node);
         tellSession(node, s);
     }
 
     private void sweep() {
-        long limit = (long) (settings.bounds().quiet() / RENEWALS * CLOSES);
+        long limit = (long) (settings.bounds().quietPeriodMs() / RENEWALS * CLOSES);
         long now = clock.now();
         Map.copyOf(sessions).forEach((node, s) -> {
             if (s.open && now - s.seen > limit) {
@@ -571,7 +583,7 @@
             if (a != null) {
                 a.path("ok").forEach(n -> acks.confirmed().add(n.asText()));
                 a.path("refused").forEach(n -> acks.refused().add(n.asText()));
-                raft.heardOf(a.path("term").asLong());
+                raft.observeTerm(a.path("term").asLong());
             }
             if (--open[0] == 0) {
                 finish.run();
@@ -582,7 +594,7 @@
             ArrayNode list = m.putArray("wefts");
             nodes.forEach(list::add);
             m.put("within", timeoutMs * 4 / 5);
-            if (cell.equals(settings.peer())) {
+            if (cell.equals(settings.peerAddress())) {
                 cell(m, one::accept);
             } else {
                 wire.call(cell, "cell", m, timeoutMs, one);
@@ -634,10 +646,10 @@
 
     @Override
     public void apply(long index, JsonNode entry) {
-        long votersSince = ledger.votersSince();
+        long votersSince = ledger.votersChangedIndex();
         ledger.apply(index, entry);
         publishSoon();
-        if (ledger.votersSince() != votersSince) {
+        if (ledger.votersChangedIndex() != votersSince) {
             // The group changes no further until whoever is new has read what the others hold.
             clock.soon(registers::settle);
             slices.votersChanged();
@@ -657,12 +669,12 @@
     }
 
     @Override
-    public boolean settled() {
+    public boolean isSynced() {
         return registers.settled();
     }
 
     @Override
-    public void leading(boolean leads) {
+    public void onLeadershipChanged(boolean leads) {
         commit.leading(leads);
     }
 
@@ -687,7 +699,10 @@
                     JsonNodeFactory.instance
                             .objectNode()
                             .put("epoch", ledger.current().epoch())
-                            .put("stamp", Config.stamp(ledger.current().packed()))
+                            .put(
+                                    "stamp",
+                                    RoutingConfiguration.stampOf(
+                                            ledger.current().compressedDocument()))
                             .put("old", ledger.previous().epoch())
                             .put("phase", ledger.phase().name()));
         }
@@ -699,7 +714,7 @@
                         Fleet.EVAC + zone,
                         e.index(),
                         0,
-                        JsonNodeFactory.instance.objectNode().put("on", e.on()));
+                        JsonNodeFactory.instance.objectNode().put("on", e.isEvacuated()));
             }
         });
     }
@@ -707,7 +722,7 @@
     /** The cell of a side that has not confirmed may be cut off: the leader tells such a side itself. */
     private void tellUnconfirmed() {
         News.Item order = news.get(Fleet.ORDER);
-        if (!raft.leads() || order == null) {
+        if (!raft.isLeader() || order == null) {
             return;
         }
         for (String node : commit.unconfirmed()) {
@@ -721,7 +736,7 @@
     // ---- the operator
 
     public void change(Orders.Change change, Consumer<Orders.Outcome> done) {
-        if (!raft.leads()) {
+        if (!raft.isLeader()) {
             done.accept(Orders.Outcome.unclear("not the leader"));
             return;
         }
@@ -729,25 +744,25 @@
     }
 
     public void evacuate(String zone, boolean on, Consumer<Boolean> done) {
-        Ledger.Evacuation e = ledger.evacuations().get(zone);
+        ReplicatedState.Evacuation e = ledger.evacuations().get(zone);
         // What is proposed and not agreed yet may be the opposite.
-        if (raft.leads() && !raft.pending() && (e == null ? !on : e.on() == on)) {
-            raft.confirm(done);
+        if (raft.isLeader() && !raft.hasUnappliedEntries() && (e == null ? !on : e.isEvacuated() == on)) {
+            raft.confirmLeadership(done);
             return;
         }
-        raft.propose(Ledger.entry("evac").put("zone", zone).put("on", on), done);
+        raft.propose(ReplicatedState.entry("evac").put("zone", zone).put("on", on), done);
     }
 
     /** The newest version, confirmed by a majority; null where that fails. */
-    public void read(Consumer<Ledger.Version> done) {
-        raft.confirm(ok -> done.accept(ok ? ledger.current() : null));
+    public void read(Consumer<ReplicatedState.Version> done) {
+        raft.confirmLeadership(ok -> done.accept(ok ? ledger.current() : null));
     }
 
     // ---- peers
 
     @Override
     public void serve(String kind, JsonNode m, Consumer<ObjectNode> answer) {
-        if (raft.serve(kind, m, answer)
+        if (raft.handleRequest(kind, m, answer)
                 || registers.serve(kind, m, answer)
                 || slices.serve(kind, m, answer)
                 || metering != null && metering.serve(kind, m, answer)) {
@@ -773,7 +788,7 @@
             case "ping" -> answer.accept(JsonNodeFactory.instance.objectNode().put("touch", inTouch()));
             case "status" -> answer.accept(status());
             default -> {
-                log.once(Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unknown");
+                log.logOnChange(Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unknown");
                 answer.accept(null);
             }
         }
@@ -782,21 +797,21 @@
     /** A holder asks for a higher fence, and names the term in which it takes this helm for the leader. */
     private ObjectNode raise(JsonNode m) {
         long term = m.path("term").asLong();
-        raft.heardOf(term);
-        if (term == raft.term()) {
+        raft.observeTerm(term);
+        if (term == raft.currentTerm()) {
             duties.raise(m.path("key").asText(), m.path("fence").asLong());
         } else {
-            log.say(Event.LOWER_TERM_REFUSED, "kind", "raise", "term", term, "known", raft.term());
+            log.log(Event.STALE_TERM_REJECTED, "kind", "raise", "term", term, "knownTerm", raft.currentTerm());
         }
-        return JsonNodeFactory.instance.objectNode().put("term", raft.term());
+        return JsonNodeFactory.instance.objectNode().put("term", raft.currentTerm());
     }
 
     private ObjectNode doc(long epoch, String stamp) {
-        for (Ledger.Version v : List.of(ledger.current(), ledger.previous())) {
+        for (ReplicatedState.Version v : List.of(ledger.current(), ledger.previous())) {
             if (v.epoch() == epoch
-                    && v.packed() != null
-                    && (stamp.isEmpty() || stamp.equals(Config.stamp(v.packed())))) {
-                return JsonNodeFactory.instance.objectNode().put("doc", v.packed());
+                    && v.compressedDocument() != null
+                    && (stamp.isEmpty() || stamp.equals(RoutingConfiguration.stampOf(v.compressedDocument())))) {
+                return JsonNodeFactory.instance.objectNode().put("doc", v.compressedDocument());
             }
         }
         return null;
@@ -808,34 +823,34 @@
                 .put("role", "helm")
                 .put("node", settings.node())
                 .put("zone", settings.zone())
-                .put("self", raft.self())
-                .put("term", raft.term())
+                .put("self", raft.localId())
+                .put("term", raft.currentTerm())
                 .put("leader", raft.leaderId())
-                .put("leads", raft.leads())
+                .put("leads", raft.isLeader())
                 .put("epoch", ledger.current().epoch())
                 .put("phase", ledger.phase().name())
-                .put("applied", raft.applied())
+                .put("applied", raft.lastApplied())
                 .put("late", strain.late())
                 .put("strained", strain.strained());
         ArrayNode v = n.putArray("voters");
         raft.voters().forEach(v::add);
         ArrayNode f = n.putArray("followers");
-        raft.progress()
+        raft.memberProgress()
                 .forEach(p -> f.addObject()
-                        .put("member", p.member())
-                        .put("match", p.match())
-                        .put("behind", p.behind())
-                        .put("sent", p.sent())
-                        .put("size", p.size())
-                        .put("snapshots", p.snapshots())
+                        .put("member", p.memberId())
+                        .put("match", p.matchIndex())
+                        .put("behind", p.entriesBehind())
+                        .put("sent", p.transferredChars())
+                        .put("size", p.transferChars())
+                        .put("snapshots", p.snapshotsSent())
                         .put("silentMs", p.silentMs())
-                        .put("differs", p.differs()));
+                        .put("differs", p.hasDivergedState()));
         ArrayNode u = n.putArray("unconfirmed");
         commit.unconfirmed().forEach(u::add);
         ObjectNode ev = n.putObject("evacuations");
-        ledger.evacuations().forEach((z, e) -> ev.put(z, e.on()));
+        ledger.evacuations().forEach((z, e) -> ev.put(z, e.isEvacuated()));
         ObjectNode held = n.putObject("duties");
-        ledger.duties().forEach((key, d) -> held.put(key, d.holder()));
+        ledger.singletonRoles().forEach((key, d) -> held.put(key, d.owner()));
         n.put("slices", slices.owned()).put("slicesInAll", Admission.SLICES);
         n.put("registers", registers.held())
                 .put("rounds", registers.rounds())
@@ -864,7 +879,7 @@
 
     /** Whether the group can go on without this helm as well as with it. */
     public boolean left() {
-        return raft.left();
+        return raft.hasLeft();
     }
 
     /** Takes no further part. */
--- a/src/main/java/bramblespool/coordination/Membership.java
+++ b/src/main/java/bramblespool/coordination/Membership.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination;
 
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Wire;
@@ -32,7 +32,7 @@
     private final Wire wire;
     private final long callMs;
     private final long renewalMs;
-    private final Log log;
+    private final EventLog log;
     private String helm;
     private boolean open;
     /** Numbers this side's sessions: the higher one holds. */
@@ -65,7 +65,7 @@
             Wire wire,
             long callMs,
             long renewalMs,
-            Log log) {
+            EventLog log) {
         this.settings = settings;
         this.news = news;
         this.terms = terms;
@@ -92,7 +92,7 @@
     void renew() {
         if (helm == null || misses >= MISSES) {
             if (open) {
-                log.say(Event.SESSION_LOST, "helm", helm);
+                log.log(Event.SESSION_LOST, "controller", helm);
                 open = false;
             }
             pick();
@@ -190,7 +190,7 @@
         ObjectNode m = JsonNodeFactory.instance
                 .objectNode()
                 .put("node", settings.get().node())
-                .put("peer", settings.get().peer())
+                .put("peer", settings.get().peerAddress())
                 .put("life", news.life())
                 .put("n", ofNumber)
                 .put("hash", news.hash())
@@ -229,7 +229,7 @@
         outnumbered = false;
         if (!open) {
             open = true;
-            log.say(Event.SESSION_OPEN, "helm", helm);
+            log.log(Event.SESSION_OPENED, "controller", helm);
         }
         terms.heard(a.path("term").asLong());
         boolean touch = a.path("touch").asBoolean(true);
--- a/src/main/java/bramblespool/coordination/Metering.java
+++ b/src/main/java/bramblespool/coordination/Metering.java
@@ -1,9 +1,9 @@
 package bramblespool.coordination;
 
-import bramblespool.raft.Raft;
-import bramblespool.state.Ledger;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.raft.RaftNode;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedState;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Platform;
@@ -53,14 +53,14 @@
         }
     }
 
-    private final Settings.Metering rules;
+    private final Settings.UsageReporting rules;
     private final String node;
     private final String peer;
     private final Clock clock;
     private final Wire wire;
     private final Platform platform;
-    private final Raft raft;
-    private final Ledger ledger;
+    private final RaftNode raft;
+    private final ReplicatedState ledger;
     private final Duties duties;
     private final Registers registers;
     private final News news;
@@ -68,7 +68,7 @@
     private final Supplier<Collection<String>> members;
     private final boolean fresh;
     private final long callMs;
-    private final Log log;
+    private final EventLog log;
     private final TrueTime time;
     private final Map<String, Sums> sums = new HashMap<>();
     private final long kept;
@@ -86,18 +86,18 @@
             Clock clock,
             Wire wire,
             Platform platform,
-            Raft raft,
-            Ledger ledger,
+            RaftNode raft,
+            ReplicatedState ledger,
             Duties duties,
             Registers registers,
             News news,
             Supplier<Collection<String>> helms,
             Supplier<Collection<String>> members,
             long callMs,
-            Log log) {
-        this.rules = settings.metering();
+            EventLog log) {
+        this.rules = settings.usageReporting();
         this.node = settings.node();
-        this.peer = settings.peer();
+        this.peer = settings.peerAddress();
         this.fresh = fresh;
         this.clock = clock;
         this.wire = wire;
@@ -112,16 +112,16 @@
         this.callMs = callMs;
         this.log = log;
         this.time = new TrueTime(clock);
-        this.kept = rules.late() / rules.window() + 2;
+        this.kept = rules.usageLateMs() / rules.reportWindowMs() + 2;
     }
 
     void start() {
-        clock.every(rules.window() / ROUNDS, this::round);
+        clock.every(rules.reportWindowMs() / ROUNDS, this::round);
         learnTime();
     }
 
     private long current() {
-        return Math.floorDiv(time.now(), rules.window());
+        return Math.floorDiv(time.now(), rules.reportWindowMs());
     }
 
     /** Asks all helms for their time of day and takes the median. */
@@ -202,8 +202,8 @@
         }
         if (reported < 0) {
             // The first holder of all begins with the window it is in; another one with all that can still be in time.
-            Ledger.Duty d = ledger.duties().get(DUTY);
-            reported = current() - (fresh && d != null && d.first() ? 0 : kept - 1);
+            ReplicatedState.SingletonRole d = ledger.singletonRoles().get(DUTY);
+            reported = current() - (fresh && d != null && d.isFirstOwner() ? 0 : kept - 1);
         }
         // What is so late that nobody holds its sums any more is not made up.
         reported = Math.max(reported, current() - kept - 1);
@@ -211,21 +211,21 @@
     }
 
     private boolean holds() {
-        Ledger.Duty d = ledger.duties().get(DUTY);
-        if (d == null || !d.holder().equals(peer) || !raft.hasRight()) {
+        ReplicatedState.SingletonRole d = ledger.singletonRoles().get(DUTY);
+        if (d == null || !d.owner().equals(peer) || !raft.hasLease()) {
             return false;
         }
-        if (d.fence() != underFence) {
-            underFence = d.fence();
+        if (d.fencingToken() != underFence) {
+            underFence = d.fencingToken();
             heldSince = clock.now();
-            log.say(Event.DUTY_TAKEN, "duty", DUTY, "fence", underFence);
+            log.log(Event.SINGLETON_ROLE_ACQUIRED, "role", DUTY, "fencingToken", underFence);
         }
         // Whoever held it before may have acted just now.
-        return fresh && d.first() || clock.now() - heldSince > rules.lease();
+        return fresh && d.isFirstOwner() || clock.now() - heldSince > rules.leaseMs();
     }
 
     private void round() {
-        sums.values().removeIf(s -> clock.now() - s.heard > rules.late() * 2);
+        sums.values().removeIf(s -> clock.now() - s.heard > rules.usageLateMs() * 2);
         if (busy || clock.now() < pausedUntil || !holds()) {
             return;
         }
@@ -236,8 +236,8 @@
             return;
         }
         long w = reported() + 1;
-        long over = time.now() - (w + 1) * rules.window();
-        if (over < rules.late() * SETTLES) {
+        long over = time.now() - (w + 1) * rules.reportWindowMs();
+        if (over < rules.usageLateMs() * SETTLES) {
             return;
         }
         busy = true;
@@ -255,9 +255,10 @@
 
     private void failed(String why) {
         busy = false;
-        pauseMs = Math.max(rules.window() / ROUNDS, Math.min(pauseMs * 2, rules.window() / LONGEST_PAUSE));
-        pausedUntil = clock.now() + Math.max(pauseMs, (long) (1000 / Math.max(0.1, rules.perS())));
-        log.once(Event.USAGE_FAILED, why, "why", why, "fence", underFence);
+        pauseMs = Math.max(
+                rules.reportWindowMs() / ROUNDS, Math.min(pauseMs * 2, rules.reportWindowMs() / LONGEST_PAUSE));
+        pausedUntil = clock.now() + Math.max(pauseMs, (long) (1000 / Math.max(0.1, rules.callsPerSecond())));
+        log.logOnChange(Event.USAGE_REPORT_FAILED, why, "cause", why, "fencingToken", underFence);
     }
 
     /** Asks all helms what they have heard of a window, and adds up each process once. */
@@ -318,7 +319,7 @@
             }
         });
         boolean whole = !silent && finished.containsAll(members.get());
-        if (!whole && over < rules.late() * WAITS) {
+        if (!whole && over < rules.usageLateMs() * WAITS) {
             busy = false;
             return;
         }
@@ -347,7 +348,7 @@
             busy = false;
             return;
         }
-        platform.usage(node, fence, report, rules.window() / LONGEST_PAUSE, code -> {
+        platform.usage(node, fence, report, rules.reportWindowMs() / LONGEST_PAUSE, code -> {
             if (code == 200) {
                 busy = false;
                 pauseMs = 0;
@@ -357,12 +358,12 @@
                         fence,
                         w,
                         JsonNodeFactory.instance.objectNode().put("window", w));
-                log.say(Event.USAGE_REPORTED, "window", w, "fence", fence);
+                log.log(Event.USAGE_REPORTED, "window", w, "fencingToken", fence);
             } else if (code == 409) {
                 // The platform has seen a higher fence: under this one nothing more is said.
                 refusedFence = fence;
                 busy = false;
-                log.say(Event.USAGE_FENCED, "fence", fence);
+                log.log(Event.USAGE_REPORT_FENCED, "fencingToken", fence);
                 raise(fence);
             } else {
                 failed(code == 0 ? "no answer" : "answered " + code);
@@ -373,15 +374,15 @@
     /** Asks the leader for a higher fence, in case the duty is still this helm's. */
     private void raise(long fence) {
         String leader = raft.leaderId();
-        if (leader != null && !raft.leads()) {
+        if (leader != null && !raft.isLeader()) {
             wire.call(
-                    Raft.addressOf(leader),
+                    RaftNode.addressOf(leader),
                     "raise",
                     JsonNodeFactory.instance
                             .objectNode()
                             .put("key", DUTY)
                             .put("fence", fence)
-                            .put("term", raft.term()),
+                            .put("term", raft.currentTerm()),
                     callMs,
                     a -> {});
         } else {
@@ -390,11 +391,11 @@
     }
 
     ObjectNode status() {
-        Ledger.Duty d = ledger.duties().get(DUTY);
+        ReplicatedState.SingletonRole d = ledger.singletonRoles().get(DUTY);
         return JsonNodeFactory.instance
                 .objectNode()
-                .put("holder", d == null ? "" : d.holder())
-                .put("fence", d == null ? 0 : d.fence())
+                .put("holder", d == null ? "" : d.owner())
+                .put("fence", d == null ? 0 : d.fencingToken())
                 .put("oldest", reported() + 1)
                 .put("current", current())
                 .put("heard", sums.size());
--- a/src/main/java/bramblespool/coordination/Registers.java
+++ b/src/main/java/bramblespool/coordination/Registers.java
@@ -1,11 +1,11 @@
 package bramblespool.coordination;
 
-import bramblespool.raft.Raft;
-import bramblespool.state.Ledger;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
-import bramblespool.state.Vault;
-import bramblespool.state.Voters;
+import bramblespool.raft.RaftNode;
+import bramblespool.state.DurableStore;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.VoterSet;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Wire;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -49,20 +49,20 @@
     /** The store's own mark: since which entry this voter has held all that those before it held. */
     private static final String MARK = "";
 
-    private final Ledger ledger;
+    private final ReplicatedState ledger;
     private final String self;
     private final boolean founder;
     private final int copies;
     private final Clock clock;
     private final Wire wire;
-    private final Vault vault;
-    private final Log log;
+    private final DurableStore vault;
+    private final EventLog log;
     private final long gatherMs;
     private final long callMs;
     private final long lifeMs;
     private final Acceptor acceptor;
     /** Words gathered for the next write, and whom to tell then; null where there are none. */
-    private Map<String, Vault.Kept> unkept;
+    private Map<String, DurableStore.StoredRegister> unkept;
 
     private List<Runnable> unkeptDone;
     private final Map<String, ArrayList<Item>> outgoing = new LinkedHashMap<>();
@@ -79,16 +79,16 @@
 
     /** Who has agreed and who has not, and whether that decides the round, under the voters that were in force when it began. */
     private final class Count {
-        private final Voters group = ledger.group();
+        private final VoterSet group = ledger.voterSet();
         private final Set<String> yes = new HashSet<>();
         private final Set<String> no = new HashSet<>();
 
         boolean won() {
-            return group.enough(yes::contains, copies);
+            return group.hasQuorum(yes::contains, copies);
         }
 
         boolean lost() {
-            return !group.enough(v -> !no.contains(v), copies);
+            return !group.hasQuorum(v -> !no.contains(v), copies);
         }
 
         void add(String voter, Reply r) {
@@ -106,19 +106,19 @@
 
     /** {@code copies}: how many durable copies there must be at least; {@code lifeMs}: how long a value is kept. */
     public Registers(
-            Ledger ledger,
+            ReplicatedState ledger,
             String self,
             int copies,
-            Vault vault,
+            DurableStore vault,
             Clock clock,
             Wire wire,
             long gatherMs,
             long callMs,
             long lifeMs,
-            Log log) {
+            EventLog log) {
         this.ledger = ledger;
         this.self = self;
-        this.founder = self.endsWith("#" + Raft.FOUNDER);
+        this.founder = self.endsWith("#" + RaftNode.FOUNDER_INCARNATION);
         this.copies = copies;
         this.vault = vault;
         this.clock = clock;
@@ -127,17 +127,17 @@
         this.callMs = callMs;
         this.lifeMs = lifeMs;
         this.log = log;
-        List<Vault.Kept> kept = vault.kept();
+        List<DurableStore.StoredRegister> kept = vault.loadRegisters();
         this.acceptor = new Acceptor(clock, lifeMs, kept);
-        for (Vault.Kept k : kept) {
-            if (k.id().equals(MARK)) {
-                settledSince = Long.parseLong(k.value());
+        for (DurableStore.StoredRegister k : kept) {
+            if (k.registerId().equals(MARK)) {
+                settledSince = Long.parseLong(k.acceptedValue());
             }
         }
     }
 
     public void start() {
-        clock.every(lifeMs / PARTS, () -> vault.fade(PARTS + 1));
+        clock.every(lifeMs / PARTS, () -> vault.expireRegisters(PARTS + 1));
         clock.every(lifeMs / (PARTS * 16), () -> {
             acceptor.expire();
             chosen.removeIf(id -> acceptor.get(id) == null);
@@ -161,7 +161,7 @@
 
     /** Whether this voter holds all that the voters before it held: a founder does, another one reads it first. */
     public boolean settled() {
-        Long since = ledger.voters().get(self);
+        Long since = ledger.voterSinceIndexes().get(self);
         if (since == null) {
             return false;
         }
@@ -177,11 +177,12 @@
         if (!settled()) {
             return false;
         }
-        List<String> addresses =
-                ledger.voters().keySet().stream().map(Raft::addressOf).toList();
+        List<String> addresses = ledger.voterSinceIndexes().keySet().stream()
+                .map(RaftNode::addressOf)
+                .toList();
         // Two voters at one address are a lost disk and its successor: neither goes first until one of them is gone.
         return Set.copyOf(addresses).size() == addresses.size()
-                && Raft.addressOf(self).equals(Rendezvous.first(sliceOf(id), addresses));
+                && RaftNode.addressOf(self).equals(Rendezvous.first(sliceOf(id), addresses));
     }
 
     // ---- proposing
@@ -243,7 +244,7 @@
             if (any && c != null) {
                 prepare();
             } else if (c == null && mayGoFirst(id)) {
-                accept(new Ballot(0, ledger.votersSince(), self), value);
+                accept(new Ballot(0, ledger.votersChangedIndex(), self), value);
             } else if (c != null && value.equals(c.value()) && chosen.contains(id)) {
                 end(new Result(Outcome.WON, value));
             } else if (c != null
@@ -275,7 +276,7 @@
 
         private void prepare() {
             number++;
-            Ballot b = new Ballot(number, ledger.votersSince(), self);
+            Ballot b = new Ballot(number, ledger.votersChangedIndex(), self);
             int mine = ++turn;
             List<Reply> promises = new ArrayList<>();
             long[] seen = {0};
@@ -314,7 +315,7 @@
                     two = true;
                 }
             }
-            if (b.epoch() != ledger.votersSince()) {
+            if (b.epoch() != ledger.votersChangedIndex()) {
                 again(b.number());
             } else if (two) {
                 // Only where one copy has outlived the register's life and another has not: nobody may go on.
@@ -360,7 +361,7 @@
             // The own word is on disk before anybody else hears the value: a later life of this helm knows of it.
             Item own = new Item(false, id, b, v, r -> {
                 if (r != null && r.ok) {
-                    for (String voter : ledger.voters().keySet()) {
+                    for (String voter : ledger.voterSinceIndexes().keySet()) {
                         if (!voter.equals(self)) {
                             give(voter, new Item(false, id, b, v, o -> one.reply(voter, o)));
                         }
@@ -368,18 +369,18 @@
                 }
                 one.reply(self, r);
                 if (r == null || !r.ok) {
-                    ledger.voters().keySet().forEach(voter -> one.reply(voter, null));
+                    ledger.voterSinceIndexes().keySet().forEach(voter -> one.reply(voter, null));
                 }
             });
             local(List.of(own));
         }
 
         private void toAll(boolean prepare, Ballot b, String v, Each each) {
-            if (ledger.voters().isEmpty()) {
+            if (ledger.voterSinceIndexes().isEmpty()) {
                 end(Result.UNKNOWN);
                 return;
             }
-            for (String voter : List.copyOf(ledger.voters().keySet())) {
+            for (String voter : List.copyOf(ledger.voterSinceIndexes().keySet())) {
                 Item i = new Item(prepare, id, b, v, r -> each.reply(voter, r));
                 if (voter.equals(self)) {
                     local(List.of(i));
@@ -410,7 +411,7 @@
         if (items.isEmpty()) {
             return;
         }
-        ObjectNode m = JsonNodeFactory.instance.objectNode().put("to", voter).put("epoch", ledger.votersSince());
+        ObjectNode m = JsonNodeFactory.instance.objectNode().put("to", voter).put("epoch", ledger.votersChangedIndex());
         ArrayNode list = m.putArray("items");
         for (Item i : items) {
             ArrayNode a = list.addArray().add(i.prepare ? 1 : 0).add(i.id).add(i.ballot.written());
@@ -418,7 +419,7 @@
                 a.add(i.value);
             }
         }
-        wire.call(Raft.addressOf(voter), "register", m, callMs, a -> {
+        wire.call(RaftNode.addressOf(voter), "register", m, callMs, a -> {
             JsonNode replies = a == null ? null : a.path("items");
             for (int n = 0; n < items.size(); n++) {
                 items.get(n).reply.accept(replies == null || n >= replies.size() ? null : read(replies.get(n)));
@@ -430,7 +431,7 @@
     private List<Item> inForce(List<Item> items) {
         List<Item> out = new ArrayList<>(items.size());
         for (Item i : items) {
-            if (i.ballot.epoch() == ledger.votersSince()) {
+            if (i.ballot.epoch() == ledger.votersChangedIndex()) {
                 out.add(i);
             } else {
                 i.reply.accept(null);
@@ -463,12 +464,12 @@
 
     /** Decides on items as an acceptor; what was decided may be told once it is on disk. */
     private void take(List<Item> items, List<Reply> replies, Runnable durable) {
-        Map<String, Vault.Kept> words = new LinkedHashMap<>();
+        Map<String, DurableStore.StoredRegister> words = new LinkedHashMap<>();
         for (Item i : items) {
             Acceptor.Cell before = acceptor.get(i.id);
             boolean was = before != null && i.ballot.equals(before.accepted());
             // A round without a prepare is the right of one voter under these voters, and of nobody under others.
-            boolean late = i.ballot.number() == 0 && i.ballot.epoch() != ledger.votersSince();
+            boolean late = i.ballot.number() == 0 && i.ballot.epoch() != ledger.votersChangedIndex();
             boolean ok =
                     !late && (i.prepare ? acceptor.promise(i.id, i.ballot) : acceptor.accept(i.id, i.ballot, i.value));
             if (ok && !was) {
@@ -490,16 +491,16 @@
     }
 
     /** Words that come within a short time go to the disk as one write: each costs a small helm as much as a message. */
-    private void keep(Map<String, Vault.Kept> words, Runnable durable) {
+    private void keep(Map<String, DurableStore.StoredRegister> words, Runnable durable) {
         if (unkept == null) {
             unkept = new LinkedHashMap<>();
             unkeptDone = new ArrayList<>();
             clock.after(gatherMs / 2, () -> {
                 List<Runnable> done = unkeptDone;
-                List<Vault.Kept> all = new ArrayList<>(unkept.values());
+                List<DurableStore.StoredRegister> all = new ArrayList<>(unkept.values());
                 unkept = null;
                 unkeptDone = null;
-                vault.keep(all, () -> done.forEach(Runnable::run));
+                vault.saveRegisters(all, () -> done.forEach(Runnable::run));
             });
         }
         unkept.putAll(words);
@@ -512,8 +513,9 @@
             return false;
         }
         // Under other voters than those in force here a majority would be another one.
-        boolean fits =
-                self.equals(m.path("to").asText()) && m.path("epoch").asLong() == ledger.votersSince() && settled();
+        boolean fits = self.equals(m.path("to").asText())
+                && m.path("epoch").asLong() == ledger.votersChangedIndex()
+                && settled();
         if (!fits) {
             answer.accept(JsonNodeFactory.instance.objectNode());
         } else if (kind.equals("registers")) {
@@ -557,28 +559,28 @@
 
     /** To be called now and then: a voter that is new reads what a majority of the others has accepted. */
     public void settle() {
-        Long since = ledger.voters().get(self);
+        Long since = ledger.voterSinceIndexes().get(self);
         if (since == null || settled() || settling) {
             return;
         }
         settling = true;
-        long epoch = ledger.votersSince();
-        List<String> others = new ArrayList<>(ledger.group().before());
+        long epoch = ledger.votersChangedIndex();
+        List<String> others = new ArrayList<>(ledger.voterSet().oldVoters());
         others.remove(self);
         int need = others.size() / 2 + 1;
-        Map<String, Vault.Kept> read = new TreeMap<>();
+        Map<String, DurableStore.StoredRegister> read = new TreeMap<>();
         int[] whole = {0};
         int[] open = {others.size()};
         Consumer<Boolean> one = ok -> {
             open[0]--;
             whole[0] += ok ? 1 : 0;
             if (whole[0] == need && ok) {
-                List<Vault.Kept> words = new ArrayList<>(read.values());
-                words.add(new Vault.Kept(MARK, null, null, Long.toString(since)));
-                vault.keep(words, () -> {
+                List<DurableStore.StoredRegister> words = new ArrayList<>(read.values());
+                words.add(new DurableStore.StoredRegister(MARK, null, null, Long.toString(since)));
+                vault.saveRegisters(words, () -> {
                     settledSince = since;
                     settling = false;
-                    log.say(Event.REGISTERS_READ, "registers", words.size() - 1, "voters", epoch);
+                    log.log(Event.REGISTERS_SYNCED, "registers", words.size() - 1, "votersIndex", epoch);
                 });
             } else if (open[0] == 0 && whole[0] < need) {
                 settling = false;
@@ -590,14 +592,19 @@
         }
     }
 
-    private void read(String from, long epoch, String after, Map<String, Vault.Kept> into, Consumer<Boolean> done) {
+    private void read(
+            String from,
+            long epoch,
+            String after,
+            Map<String, DurableStore.StoredRegister> into,
+            Consumer<Boolean> done) {
         ObjectNode m = JsonNodeFactory.instance
                 .objectNode()
                 .put("to", from)
                 .put("epoch", epoch)
                 .put("after", after);
-        wire.call(Raft.addressOf(from), "registers", m, callMs * 4, a -> {
-            if (a == null || !a.path("items").isArray() || ledger.votersSince() != epoch) {
+        wire.call(RaftNode.addressOf(from), "registers", m, callMs * 4, a -> {
+            if (a == null || !a.path("items").isArray() || ledger.votersChangedIndex() != epoch) {
                 done.accept(false);
                 return;
             }
--- a/src/main/java/bramblespool/coordination/Roster.java
+++ b/src/main/java/bramblespool/coordination/Roster.java
@@ -1,9 +1,9 @@
 package bramblespool.coordination;
 
 import bramblespool.protocol.Listing;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Platform;
 import bramblespool.transport.Wire;
@@ -65,7 +65,7 @@
     private final Supplier<List<Hem>> hems;
     private final long periodMs;
     private final long callMs;
-    private final Log log;
+    private final EventLog log;
     private long fence;
     private boolean active;
     /** Until when the list is read without the duty. */
@@ -93,7 +93,7 @@
             Supplier<List<Hem>> hems,
             long periodMs,
             long callMs,
-            Log log) {
+            EventLog log) {
         this.zone = zone;
         this.self = Long.toHexString((long) (clock.chance() * Long.MAX_VALUE));
         this.clock = clock;
@@ -115,7 +115,7 @@
             reading++;
             nextRead = clock.now();
             backoff = 0;
-            log.say(Event.DUTY_TAKEN, "duty", "list of " + zone, "fence", fence);
+            log.log(Event.SINGLETON_ROLE_ACQUIRED, "role", "list of " + zone, "fencingToken", fence);
         }
         active = mine;
     }
@@ -168,7 +168,7 @@
             Listing page;
             try {
                 page = Listing.read(p.body());
-            } catch (Config.Invalid e) {
+            } catch (RoutingConfiguration.InvalidConfigurationException e) {
                 giveUp(e.getMessage());
                 return;
             }
@@ -188,7 +188,7 @@
     }
 
     private void giveUp(String why) {
-        log.once(Event.LIST_FAILED, zone + why, "zone", zone, "why", why);
+        log.logOnChange(Event.REGISTRY_READ_FAILED, zone + why, "zone", zone, "cause", why);
         backoff = Math.min(backoff + 1, LONGEST_BACKOFF);
         nextRead = clock.now() + backoff * periodMs / 2 + (long) (clock.chance() * periodMs / 2);
     }
@@ -201,7 +201,7 @@
             return;
         }
         if (list == null) {
-            log.say(Event.LIST_READ, "zone", zone, "servers", got.size());
+            log.log(Event.REGISTRY_READ, "zone", zone, "endpoints", got.size());
         }
         backoff = 0;
         nextRead = clock.now() + periodMs;
--- a/src/main/java/bramblespool/coordination/Shadow.java
+++ b/src/main/java/bramblespool/coordination/Shadow.java
@@ -1,8 +1,8 @@
 package bramblespool.coordination;
 
-import bramblespool.state.Config;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
 
 /**
@@ -11,7 +11,7 @@
  */
 public final class Shadow {
     /** What a mark names here. */
-    public record Choice(Config config, boolean test) {}
+    public record Choice(RoutingConfiguration config, boolean test) {}
 
     private static final String REAL = "0";
     private static final String TEST = "1";
@@ -19,9 +19,9 @@
     private static final String ANY = "";
 
     private final Clock clock;
-    private final Log log;
+    private final EventLog log;
     private final long revertMs;
-    private final Config[] installed = new Config[2];
+    private final RoutingConfiguration[] installed = new RoutingConfiguration[2];
     /** The map: which slot is real; the other is shadow. */
     private int real;
 
@@ -32,7 +32,7 @@
     private Clock.Timer timeout;
     private Runnable changed = () -> {};
 
-    public Shadow(Clock clock, long revertMs, Log log) {
+    public Shadow(Clock clock, long revertMs, EventLog log) {
         this.clock = clock;
         this.revertMs = revertMs;
         this.log = log;
@@ -42,11 +42,11 @@
         changed = r;
     }
 
-    public Config real() {
+    public RoutingConfiguration real() {
         return installed[real];
     }
 
-    public Config shadow() {
+    public RoutingConfiguration shadow() {
         return installed[1 - real];
     }
 
@@ -83,7 +83,7 @@
         }
         if (mark.equals(REAL)) {
             // While tags are in use an untagged call is from a weft that has not had TAG PACKET: it means C_old.
-            Config c = tagging && tagOld > 0 ? versioned(tagOld, ANY) : real();
+            RoutingConfiguration c = tagging && tagOld > 0 ? versioned(tagOld, ANY) : real();
             return c == null ? null : new Choice(c, false);
         }
         if (mark.equals(TEST)) {
@@ -91,16 +91,16 @@
         }
         long epoch = tagged(mark);
         int stamp = mark.indexOf('-');
-        Config c = versioned(epoch, stamp < 0 ? ANY : mark.substring(stamp + 1));
+        RoutingConfiguration c = versioned(epoch, stamp < 0 ? ANY : mark.substring(stamp + 1));
         if (c != null && !tagging && (epoch == tagOld || epoch == tagNew)) {
             tagPacket(tagNew, ANY);
         }
         return c == null ? null : new Choice(c, false);
     }
 
-    private Config versioned(long epoch, String stamp) {
-        for (Config c : installed) {
-            if (c != null && c.is(epoch, stamp)) {
+    private RoutingConfiguration versioned(long epoch, String stamp) {
+        for (RoutingConfiguration c : installed) {
+            if (c != null && c.matches(epoch, stamp)) {
                 return c;
             }
         }
@@ -108,8 +108,8 @@
     }
 
     /** Phase 1, which may stay open so long for others. Answers null when recorded, or why not. */
-    public String distribute(long old, long fresh, Config candidate, long openMs) {
-        if (real() != null && real().is(fresh, candidate.stamp)) {
+    public String distribute(long old, long fresh, RoutingConfiguration candidate, long openMs) {
+        if (real() != null && real().matches(fresh, candidate.stamp)) {
             return null;
         }
         if (epoch() != old) {
@@ -127,10 +127,10 @@
 
     /** No TAG PACKET came, or this candidate's commit was aborted: back to the normal state. Another one's tags stay. */
     public void revert(long fresh, String stamp) {
-        if (tagging || swapped || fresh != tagNew || shadow() == null || !shadow().is(fresh, stamp)) {
+        if (tagging || swapped || fresh != tagNew || shadow() == null || !shadow().matches(fresh, stamp)) {
             return;
         }
-        log.say(Event.SHADOW_REVERTED, "epoch", tagNew);
+        log.log(Event.SHADOW_REVERTED, "epoch", tagNew);
         tagOld = -1;
         tagNew = -1;
         cancel();
@@ -139,7 +139,7 @@
     /** Phase 2: calls are marked with tags from now on. */
     public boolean tagPacket(long fresh, String stamp) {
         if (fresh != tagNew || versioned(fresh, stamp) == null) {
-            return real() != null && real().is(fresh, stamp);
+            return real() != null && real().matches(fresh, stamp);
         }
         cancel();
         tagging = true;
@@ -149,23 +149,23 @@
     /** Phase 3: the map's entries are exchanged; the tags stay with their versions. */
     public boolean swap(long fresh, String stamp) {
         if (epoch() == fresh) {
-            return real().is(fresh, stamp);
+            return real().matches(fresh, stamp);
         }
-        if (fresh != tagNew || shadow() == null || !shadow().is(fresh, stamp)) {
+        if (fresh != tagNew || shadow() == null || !shadow().matches(fresh, stamp)) {
             return false;
         }
         cancel();
         real = 1 - real;
         tagging = true;
         swapped = true;
-        log.say(Event.VERSION_ADOPTED, "epoch", fresh, "how", "swap");
+        log.log(Event.CONFIGURATION_ADOPTED, "epoch", fresh, "trigger", "swap");
         changed.run();
         return true;
     }
 
     /** Phase 4: back to the bit. The tags of a commit that has begun since stay. */
     public boolean markBit(long fresh, String stamp) {
-        if (real() == null || !real().is(fresh, stamp)) {
+        if (real() == null || !real().matches(fresh, stamp)) {
             return false;
         }
         if (tagNew == fresh) {
@@ -178,7 +178,7 @@
     }
 
     /** A decided version taken directly by a weft that missed its commit. Never goes back. */
-    public void adopt(Config decided, boolean settled) {
+    public void adopt(RoutingConfiguration decided, boolean settled) {
         if (decided.epoch <= epoch()) {
             return;
         }
@@ -192,7 +192,7 @@
         if (settled) {
             markBit(decided.epoch, decided.stamp);
         }
-        log.say(Event.VERSION_ADOPTED, "epoch", decided.epoch, "how", "adopted");
+        log.log(Event.CONFIGURATION_ADOPTED, "epoch", decided.epoch, "trigger", "adopted");
         changed.run();
     }
 
--- a/src/main/java/bramblespool/coordination/Slices.java
+++ b/src/main/java/bramblespool/coordination/Slices.java
@@ -1,10 +1,10 @@
 package bramblespool.coordination;
 
-import bramblespool.raft.Raft;
-import bramblespool.state.Ledger;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
-import bramblespool.state.Voters;
+import bramblespool.raft.RaftNode;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.VoterSet;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Wire;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -46,13 +46,13 @@
         }
     }
 
-    private final Ledger ledger;
+    private final ReplicatedState ledger;
     private final Registers registers;
     private final String self;
     private final String peer;
     private final Clock clock;
     private final Wire wire;
-    private final Log log;
+    private final EventLog log;
     private final long leaseMs;
     private final long renewMs;
     private final long refreshMs;
@@ -80,18 +80,18 @@
     private long wantedAt = Long.MIN_VALUE / 2;
 
     Slices(
-            Ledger ledger,
+            ReplicatedState ledger,
             Registers registers,
             String self,
             Clock clock,
             Wire wire,
             long quiet,
             long registerLife,
-            Log log) {
+            EventLog log) {
         this.ledger = ledger;
         this.registers = registers;
         this.self = self;
-        this.peer = Raft.addressOf(self);
+        this.peer = RaftNode.addressOf(self);
         this.clock = clock;
         this.wire = wire;
         this.leaseMs = quiet / LEASE;
@@ -105,7 +105,7 @@
 
     /** The voters have changed: what those before a new one granted and promised it does not know. */
     void votersChanged() {
-        boolean is = ledger.voters().containsKey(self);
+        boolean is = ledger.voterSinceIndexes().containsKey(self);
         if (is && !voting) {
             votingSince = clock.now();
         }
@@ -133,7 +133,7 @@
             owners.values().removeIf(this::mine);
             newLife();
             lapsed = true;
-            log.say(Event.RIGHT_LAPSED, "lives", lives);
+            log.log(Event.LEASE_LOST, "incarnation", lives);
         }
         return false;
     }
@@ -144,20 +144,21 @@
 
     private void renew() {
         leased();
-        if (clock.now() - wantedAt >= leaseMs * WANTED || ledger.voters().isEmpty()) {
+        if (clock.now() - wantedAt >= leaseMs * WANTED
+                || ledger.voterSinceIndexes().isEmpty()) {
             // Nobody asks for tokens: a fleet without limits pays nothing for them.
             return;
         }
         long sentAt = clock.now();
         String asLife = life;
-        Voters group = ledger.group();
+        VoterSet group = ledger.voterSet();
         Set<String> yes = new HashSet<>();
         BiConsumer<String, Boolean> one = (voter, ok) -> {
-            if (ok && yes.add(voter) && group.majority(yes::contains) && asLife.equals(life)) {
+            if (ok && yes.add(voter) && group.hasMajority(yes::contains) && asLife.equals(life)) {
                 leasedSince = Math.max(leasedSince, sentAt);
                 if (lapsed) {
                     lapsed = false;
-                    log.say(Event.RIGHT_BACK, "lives", lives);
+                    log.log(Event.LEASE_REGAINED, "incarnation", lives);
                 }
             }
         };
@@ -166,14 +167,14 @@
 
     /** Asks every voter, this one among them. */
     private void all(String kind, ObjectNode m, BiConsumer<String, Boolean> one) {
-        for (String voter : List.copyOf(ledger.voters().keySet())) {
+        for (String voter : List.copyOf(ledger.voterSinceIndexes().keySet())) {
             if (voter.equals(self)) {
                 one.accept(voter, decide(kind, m));
             } else {
                 wire.call(
-                        Raft.addressOf(voter),
+                        RaftNode.addressOf(voter),
                         kind,
-                        m.deepCopy().put("to", voter).put("epoch", ledger.votersSince()),
+                        m.deepCopy().put("to", voter).put("epoch", ledger.votersChangedIndex()),
                         leaseMs,
                         a -> one.accept(voter, a != null && a.path("ok").asBoolean()));
             }
@@ -207,7 +208,7 @@
         if (!kind.startsWith("lease/")) {
             return false;
         }
-        boolean fits = self.equals(m.path("to").asText()) && m.path("epoch").asLong() == ledger.votersSince();
+        boolean fits = self.equals(m.path("to").asText()) && m.path("epoch").asLong() == ledger.votersChangedIndex();
         answer.accept(JsonNodeFactory.instance.objectNode().put("ok", fits && decide(kind, m)));
         return true;
     }
@@ -291,7 +292,7 @@
     }
 
     private void bar(String slice, Owner o) {
-        Voters group = ledger.group();
+        VoterSet group = ledger.voterSet();
         Set<String> yes = new HashSet<>();
         Set<String> no = new HashSet<>();
         boolean[] over = new boolean[1];
@@ -300,10 +301,10 @@
             if (over[0]) {
                 return;
             }
-            if (group.majority(yes::contains)) {
+            if (group.hasMajority(yes::contains)) {
                 over[0] = true;
                 take(slice, o, o.written);
-            } else if (!group.majority(v -> !no.contains(v))) {
+            } else if (!group.hasMajority(v -> !no.contains(v))) {
                 over[0] = true;
                 taking.remove(slice);
                 // A voter has heard it: it is not silent, only not here. Barring it again and again would keep it so.
@@ -326,7 +327,7 @@
                 if (before == null) {
                     firstOwned.add(slice + " " + lastTerm);
                 }
-                log.say(Event.DUTY_TAKEN, "duty", slice, "fence", mine.fence);
+                log.log(Event.SINGLETON_ROLE_ACQUIRED, "role", slice, "fencingToken", mine.fence);
             }
         });
     }
--- a/src/main/java/bramblespool/coordination/Steward.java
+++ b/src/main/java/bramblespool/coordination/Steward.java
@@ -1,8 +1,8 @@
 package bramblespool.coordination;
 
 import bramblespool.protocol.Listing;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
 import bramblespool.transport.Clock;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -28,13 +28,13 @@
     private final Gate.Rules rules;
     private final Gates gates;
     private final Runnable changed;
-    private final Log log;
+    private final EventLog log;
     private final Map<String, Turn> turns = new HashMap<>();
     private final Map<String, Map<String, Gate>> byZone = new HashMap<>();
     private boolean taking;
     private boolean told;
 
-    Steward(Clock clock, Gate.Rules rules, Gates gates, Runnable changed, Log log) {
+    Steward(Clock clock, Gate.Rules rules, Gates gates, Runnable changed, EventLog log) {
         this.clock = clock;
         this.rules = rules;
         this.gates = gates;
@@ -55,7 +55,15 @@
         ObjectNode out = JsonNodeFactory.instance.objectNode();
         if (last != null && !last.olderThan(fence, n)) {
             if (last.fence > fence) {
-                log.once(Event.ASSIGNMENT_REFUSED, zone + fence, "zone", zone, "fence", fence, "stands", last.fence);
+                log.logOnChange(
+                        Event.ASSIGNMENT_REJECTED,
+                        zone + fence,
+                        "zone",
+                        zone,
+                        "fencingToken",
+                        fence,
+                        "currentFencingToken",
+                        last.fence);
             }
             return out.put("ok", last.equals(new Turn(fence, n, reader)))
                     .put("fence", last.fence)
@@ -85,7 +93,16 @@
             return lost;
         });
         taking = false;
-        log.say(Event.ASSIGNED, "zone", zone, "fence", fence, "n", n, "servers", named.size());
+        log.log(
+                Event.ENDPOINTS_ASSIGNED,
+                "zone",
+                zone,
+                "fencingToken",
+                fence,
+                "sequence",
+                n,
+                "endpoints",
+                named.size());
         if (told) {
             changed.run();
         }
--- a/src/main/java/bramblespool/coordination/Strain.java
+++ b/src/main/java/bramblespool/coordination/Strain.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination;
 
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
 import bramblespool.transport.Clock;
 
 /**
@@ -13,13 +13,13 @@
     private final Clock clock;
     private final long periodMs;
     private final long mostMs;
-    private final Log log;
+    private final EventLog log;
     private long due;
     private long late;
     private boolean strained;
 
     /** {@code mostMs}: lateness from which it counts as not keeping up; it does again below a quarter of that. */
-    public Strain(Clock clock, long mostMs, Log log) {
+    public Strain(Clock clock, long mostMs, EventLog log) {
         this.clock = clock;
         this.periodMs = Math.max(1, mostMs / 2);
         this.mostMs = mostMs;
@@ -36,10 +36,10 @@
         late = Math.max(clock.now() - due, late * 3 / 4);
         if (!strained && late >= mostMs) {
             strained = true;
-            log.say(Event.STRAINED, "late", late);
+            log.log(Event.OVERLOADED, "lateMs", late);
         } else if (strained && late < mostMs / 4) {
             strained = false;
-            log.say(Event.RELIEVED);
+            log.log(Event.OVERLOAD_CLEARED);
         }
         start();
     }
--- a/src/main/java/bramblespool/coordination/Terms.java
+++ b/src/main/java/bramblespool/coordination/Terms.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination;
 
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
@@ -9,11 +9,11 @@
  * in a lower term, or in an earlier round, is late and refused: whoever leads now says what holds.
  */
 final class Terms {
-    private final Log log;
+    private final EventLog log;
     private long highest;
     private long round;
 
-    Terms(Log log) {
+    Terms(EventLog log) {
         this.log = log;
     }
 
@@ -35,28 +35,28 @@
         long in = m.path("round").asLong();
         heard(term);
         if (term < highest) {
-            log.say(
-                    Event.LOWER_TERM_REFUSED,
+            log.log(
+                    Event.STALE_TERM_REJECTED,
                     "kind",
                     kind,
                     "phase",
                     m.path("phase").asInt(),
                     "term",
                     term,
-                    "known",
+                    "knownTerm",
                     highest);
             return false;
         }
         if (in < round) {
-            log.say(
-                    Event.EARLIER_ROUND_REFUSED,
+            log.log(
+                    Event.STALE_ROUND_REJECTED,
                     "kind",
                     kind,
                     "phase",
                     m.path("phase").asInt(),
                     "round",
                     in,
-                    "known",
+                    "knownRound",
                     round);
             return false;
         }
--- a/src/main/java/bramblespool/coordination/WeftCore.java
+++ b/src/main/java/bramblespool/coordination/WeftCore.java
@@ -1,9 +1,9 @@
 package bramblespool.coordination;
 
 import bramblespool.protocol.Beat;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Wire;
@@ -42,7 +42,7 @@
 
     private final Clock clock;
     private final Wire wire;
-    private final Log log;
+    private final EventLog log;
     private Settings settings;
     public final News news;
     public final Fleet fleet;
@@ -72,14 +72,14 @@
     private final Set<String> pinging = new LinkedHashSet<>();
     private long lastTick;
 
-    public WeftCore(Settings settings, Clock clock, Wire wire, Log log) {
+    public WeftCore(Settings settings, Clock clock, Wire wire, EventLog log) {
         this.settings = settings;
         this.clock = clock;
         this.wire = wire;
         this.log = log;
         Settings.Bounds b = settings.bounds();
-        this.callMs = b.quiet() / CALLS;
-        this.news = new News(clock, wire, callMs, b.drain() / GATHER, false, new News.Circle() {
+        this.callMs = b.quietPeriodMs() / CALLS;
+        this.news = new News(clock, wire, callMs, b.drainMs() / GATHER, false, new News.Circle() {
             @Override
             public Collection<String> tell(News.Source from) {
                 return circle(from);
@@ -90,15 +90,15 @@
                 return others();
             }
         });
-        this.claimer = settings.peer() + " " + Long.toHexString((long) (clock.chance() * (1L << 52)));
+        this.claimer = settings.peerAddress() + " " + Long.toHexString((long) (clock.chance() * (1L << 52)));
         TrueTime time = new TrueTime(clock);
-        this.tally = settings.metering() == null
+        this.tally = settings.usageReporting() == null
                 ? null
                 : new Tally(
                         time,
                         claimer,
-                        settings.metering().window(),
-                        settings.metering().late());
+                        settings.usageReporting().reportWindowMs(),
+                        settings.usageReporting().usageLateMs());
         this.terms = new Terms(log);
         this.confirmation =
                 new Confirmation(() -> Fleet.helms(news, this.settings), this::newest, news, wire, callMs, log);
@@ -112,22 +112,28 @@
                 clock,
                 wire,
                 callMs,
-                b.quiet() / RENEWALS,
+                b.quietPeriodMs() / RENEWALS,
                 log);
-        this.fleet = new Fleet(clock, settings.node(), settings.zone(), b.quiet() / 3, gates::load);
-        this.shadow = new Shadow(clock, b.apply() * 2 / 5, log);
-        if (settings.edge()) {
+        this.fleet = new Fleet(clock, settings.node(), settings.zone(), b.quietPeriodMs() / 3, gates::load);
+        this.shadow = new Shadow(clock, b.applyMs() * 2 / 5, log);
+        if (settings.isEdge()) {
             this.gate = null;
             this.steward = new Steward(clock, Gate.Rules.listed(settings), gates, this::tellSelf, log);
         } else {
             this.gate = new Gate(
-                    clock, Gate.Rules.beating(settings), settings.appAddr(), settings.target(), this::tellSelf, log);
+                    clock,
+                    Gate.Rules.beating(settings),
+                    settings.applicationAddress(),
+                    settings.serviceName(),
+                    this::tellSelf,
+                    log);
             this.steward = null;
             gates.add(gate);
         }
-        this.budget = new Budget(b.retryRatio(), b.retrySlack());
-        this.operations = new Operations(clock, claimer, Operations.keeps(b.keyWindow()), answerBytes(settings));
-        this.admission = new Admission(clock, wire, () -> Fleet.voters(news, this.settings), b.quiet());
+        this.budget = new Budget(b.retryRatio(), b.retryAllowance());
+        this.operations =
+                new Operations(clock, claimer, Operations.keeps(b.idempotencyKeyWindowMs()), answerBytes(settings));
+        this.admission = new Admission(clock, wire, () -> Fleet.voters(news, this.settings), b.quietPeriodMs());
         news.author(Fleet.SIDE + settings.node(), this::tellSelf);
         news.listen(this::heard);
         shadow.onChange(this::versionChanged);
@@ -139,13 +145,13 @@
     }
 
     public void start() {
-        long renew = settings.bounds().quiet() / RENEWALS;
+        long renew = settings.bounds().quietPeriodMs() / RENEWALS;
         tellSelf();
         membership.renew();
         clock.every(renew, () -> {
             long now = clock.now();
             if (lastTick > 0 && now - lastTick > renew * 3) {
-                log.say(Event.PAUSED, "ms", now - lastTick);
+                log.log(Event.PROCESS_PAUSED, "pausedMs", now - lastTick);
                 gates.paused();
             }
             lastTick = now;
@@ -169,7 +175,7 @@
     private void sayUnconfirmed() {
         if (!saidUnconfirmed && !confirmation.confirmed() && ready()) {
             saidUnconfirmed = true;
-            log.say(Event.UNCONFIRMED, "epoch", shadow.epoch());
+            log.log(Event.CONFIGURATION_UNCONFIRMED, "epoch", shadow.epoch());
         }
     }
 
@@ -186,8 +192,8 @@
     private void tellSelf() {
         ObjectNode self = JsonNodeFactory.instance
                 .objectNode()
-                .put("peer", settings.peer())
-                .put("inbound", settings.inbound())
+                .put("peer", settings.peerAddress())
+                .put("inbound", settings.inboundAddress())
                 .put("zone", settings.zone())
                 .put("gone", gone);
         self.set("doors", gates.doors(gone));
@@ -198,11 +204,11 @@
         fleet.hear(i);
         budget.sharers(fleet.sides());
         if (i.key().equals(Fleet.EVAC + settings.zone())) {
-            log.say(
-                    Event.EVACUATION,
+            log.log(
+                    Event.ZONE_EVACUATION_CHANGED,
                     "zone",
                     settings.zone(),
-                    "on",
+                    "evacuated",
                     i.body().path("on").asBoolean());
             gates.evacuated(i.body().path("on").asBoolean());
         } else if (i.key().equals(Fleet.ORDER)) {
@@ -298,14 +304,14 @@
         boolean swapped = marked || order.body().path("phase").asText().equals("SWAPPED");
         if (!swapped && shadow.real() != null) {
             // The commit is under way; should it not come by, the decided version is taken all the same.
-            clock.after(settings.bounds().apply() / 4, () -> {
+            clock.after(settings.bounds().applyMs() / 4, () -> {
                 if (shadow.epoch() < epoch) {
                     fetch(epoch, stamp, false);
                 }
             });
             return;
         }
-        if (shadow.shadow() != null && shadow.shadow().is(epoch, stamp)) {
+        if (shadow.shadow() != null && shadow.shadow().matches(epoch, stamp)) {
             shadow.adopt(shadow.shadow(), marked);
         } else {
             fetch(epoch, stamp, marked);
@@ -345,26 +351,27 @@
                 from.get(at),
                 "doc",
                 JsonNodeFactory.instance.objectNode().put("epoch", epoch).put("stamp", stamp),
-                settings.bounds().apply() / FETCHES,
+                settings.bounds().applyMs() / FETCHES,
                 a -> {
                     if (a != null && a.path("doc").isTextual()) {
                         try {
-                            Config got = Config.unpack(a.path("doc").asText());
-                            if (got.is(epoch, stamp)) {
+                            RoutingConfiguration got = RoutingConfiguration.compileCompressed(
+                                    a.path("doc").asText());
+                            if (got.matches(epoch, stamp)) {
                                 shadow.adopt(got, marked);
                                 fetching = false;
                                 catchUp();
                                 return;
                             }
-                            log.once(
+                            log.logOnChange(
                                     Event.MESSAGE_DROPPED,
                                     "doc" + got.tag(),
                                     "kind",
                                     "doc",
                                     "cause",
                                     "another document");
-                        } catch (Config.Invalid e) {
-                            log.once(
+                        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+                            log.logOnChange(
                                     Event.MESSAGE_DROPPED,
                                     "doc" + e.getMessage(),
                                     "kind",
@@ -428,7 +435,7 @@
             case "operation" -> answer.accept(operation(m));
             case "status" -> answer.accept(status());
             default -> {
-                log.once(Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unknown");
+                log.logOnChange(Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unknown");
                 answer.accept(null);
             }
         }
@@ -463,7 +470,7 @@
     /** Asks the side that a claim names what came of it. Null: nobody there, or it is an earlier life of this one. */
     public void askOperation(String register, String claim, long print, long withinMs, Consumer<JsonNode> answer) {
         String peer = claim.substring(0, Math.max(0, claim.indexOf(' ')));
-        if (peer.isEmpty() || peer.equals(settings.peer())) {
+        if (peer.isEmpty() || peer.equals(settings.peerAddress())) {
             answer.accept(null);
             return;
         }
@@ -480,10 +487,10 @@
     }
 
     private ObjectNode doc(long epoch, String stamp) {
-        Config c = shadow.real();
-        return c == null || !c.is(epoch, stamp)
+        RoutingConfiguration c = shadow.real();
+        return c == null || !c.matches(epoch, stamp)
                 ? null
-                : JsonNodeFactory.instance.objectNode().put("doc", c.packed);
+                : JsonNodeFactory.instance.objectNode().put("doc", c.compressedDocument);
     }
 
     private ObjectNode phase(JsonNode m) {
@@ -500,7 +507,8 @@
             }
             case 1 -> {
                 try {
-                    Config candidate = Config.unpack(m.path("doc").asText());
+                    RoutingConfiguration candidate =
+                            RoutingConfiguration.compileCompressed(m.path("doc").asText());
                     String no = shadow.distribute(
                             m.path("old").asLong(),
                             fresh,
@@ -511,7 +519,7 @@
                         return out.put("ok", false).put("why", no);
                     }
                     return out.put("ok", true).put("difference", candidate.difference(shadow.real()));
-                } catch (Config.Invalid e) {
+                } catch (RoutingConfiguration.InvalidConfigurationException e) {
                     return out.put("ok", false).put("refused", true).put("why", e.getMessage());
                 }
             }
--- a/src/main/java/bramblespool/protocol/Beat.java
+++ b/src/main/java/bramblespool/protocol/Beat.java
@@ -1,7 +1,7 @@
 package bramblespool.protocol;
 
-import bramblespool.state.Config;
-import bramblespool.state.Fields;
+import bramblespool.state.DocumentReader;
+import bramblespool.state.RoutingConfiguration;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -36,24 +36,24 @@
         return id.indexOf('/') >= 0 ? null : id;
     }
 
-    public static Beat read(String id, byte[] body) throws Config.Invalid {
+    public static Beat read(String id, byte[] body) throws RoutingConfiguration.InvalidConfigurationException {
         List<String> faults = new ArrayList<>();
-        Fields f = new Fields(Config.tree(body), "", faults);
-        String state = f.state("state");
+        DocumentReader f = new DocumentReader(RoutingConfiguration.parseDocument(body), "", faults);
+        String state = f.serverState("state");
         Beat b = new Beat(
                 id,
-                f.text("target"),
+                f.string("target"),
                 f.address("address", null),
-                f.text("zone", ""),
-                (int) f.whole("capacity", null),
+                f.string("zone", ""),
+                (int) f.wholeNumber("capacity", null),
                 "draining".equals(state),
-                f.time("warmupLeft", "0ms"),
-                f.whole("callSeq", 0L));
+                f.durationMs("warmupLeft", "0ms"),
+                f.wholeNumber("callSeq", 0L));
         if (b.capacity < 1) {
-            f.fault("capacity", "must be at least 1");
+            f.addFault("capacity", "must be at least 1");
         }
         if (!faults.isEmpty()) {
-            throw new Config.Invalid(faults);
+            throw new RoutingConfiguration.InvalidConfigurationException(faults);
         }
         return b;
     }
--- a/src/main/java/bramblespool/protocol/Listing.java
+++ b/src/main/java/bramblespool/protocol/Listing.java
@@ -1,7 +1,7 @@
 package bramblespool.protocol;
 
-import bramblespool.state.Config;
-import bramblespool.state.Fields;
+import bramblespool.state.DocumentReader;
+import bramblespool.state.RoutingConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -43,8 +43,8 @@
     }
 
     /** Checks a page whole: nothing is taken from one with a fault. */
-    public static Listing read(byte[] body) throws Config.Invalid {
-        JsonObject tree = Config.tree(body);
+    public static Listing read(byte[] body) throws RoutingConfiguration.InvalidConfigurationException {
+        JsonObject tree = RoutingConfiguration.parseDocument(body);
         List<String> faults = new ArrayList<>();
         List<Entry> out = new ArrayList<>();
         Set<String> ids = new HashSet<>();
@@ -61,9 +61,9 @@
         } else {
             faults.add("servers: must be a table of lists");
         }
-        String next = new Fields(tree, "", faults).text("nextToken", "");
+        String next = new DocumentReader(tree, "", faults).string("nextToken", "");
         if (!faults.isEmpty()) {
-            throw new Config.Invalid(faults);
+            throw new RoutingConfiguration.InvalidConfigurationException(faults);
         }
         return new Listing(out, next.isEmpty() ? null : next);
     }
@@ -73,21 +73,21 @@
             faults.add("servers." + zone + ": must hold objects");
             return;
         }
-        Fields f = new Fields(e.getAsJsonObject(), "servers." + zone + "[" + out.size() + "].", faults);
-        String state = f.state("state");
+        DocumentReader f = new DocumentReader(e.getAsJsonObject(), "servers." + zone + "[" + out.size() + "].", faults);
+        String state = f.serverState("state");
         Entry s = new Entry(
-                f.text("id"),
-                f.text("target"),
+                f.string("id"),
+                f.string("target"),
                 f.address("address", null),
                 zone,
-                (int) f.whole("capacity", null),
+                (int) f.wholeNumber("capacity", null),
                 "draining".equals(state),
-                f.time("warmupLeft", "0ms"));
+                f.durationMs("warmupLeft", "0ms"));
         if (s.capacity < 1) {
-            f.fault("capacity", "must be at least 1");
+            f.addFault("capacity", "must be at least 1");
         }
         if (s.id != null && !ids.add(s.id)) {
-            f.fault("id", "stands twice: " + s.id);
+            f.addFault("id", "stands twice: " + s.id);
         }
         out.add(s);
     }
--- a/src/main/java/bramblespool/protocol/Orders.java
+++ b/src/main/java/bramblespool/protocol/Orders.java
@@ -1,6 +1,6 @@
 package bramblespool.protocol;
 
-import bramblespool.state.Config;
+import bramblespool.state.RoutingConfiguration;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonPrimitive;
 import java.security.MessageDigest;
@@ -13,16 +13,18 @@
     /** A change of configuration, whole or by named items, with the digest that makes a repeat known. */
     public record Change(JsonObject tree, boolean amends, long base, String digest) {
         /** The whole document that this change makes. */
-        public JsonObject whole(Config current) throws Config.Invalid {
+        public JsonObject whole(RoutingConfiguration current)
+                throws RoutingConfiguration.InvalidConfigurationException {
             if (!amends) {
                 JsonObject whole = tree.deepCopy();
                 whole.remove("baseVersion");
                 return whole;
             }
             if (current == null) {
-                throw new Config.Invalid(List.of("there is no configuration to amend"));
+                throw new RoutingConfiguration.InvalidConfigurationException(
+                        List.of("there is no configuration to amend"));
             }
-            return current.amend(tree);
+            return current.applyAmendment(tree);
         }
     }
 
@@ -48,13 +50,14 @@
 
     private Orders() {}
 
-    public static Change change(boolean amends, byte[] body) throws Config.Invalid {
-        JsonObject tree = Config.tree(body);
+    public static Change change(boolean amends, byte[] body) throws RoutingConfiguration.InvalidConfigurationException {
+        JsonObject tree = RoutingConfiguration.parseDocument(body);
         if (!tree.has("epoch") || !whole(tree, "epoch")) {
-            throw new Config.Invalid(List.of("epoch: must be a whole number"));
+            throw new RoutingConfiguration.InvalidConfigurationException(List.of("epoch: must be a whole number"));
         }
         if (tree.has("baseVersion") && !whole(tree, "baseVersion")) {
-            throw new Config.Invalid(List.of("baseVersion: must be a whole number"));
+            throw new RoutingConfiguration.InvalidConfigurationException(
+                    List.of("baseVersion: must be a whole number"));
         }
         long base = tree.has("baseVersion") ? tree.get("baseVersion").getAsLong() : 0;
         return new Change(tree, amends, base, digest(amends, body));
--- a/src/main/java/bramblespool/raft/Incoming.java
+++ b/src/main/java/bramblespool/raft/ChunkAssembler.java
@@ -1,16 +1,16 @@
 package bramblespool.raft;
 
 /** What has come so far of something that is sent in parts. */
-final class Incoming {
-    final String id;
+final class ChunkAssembler {
+    final String transferId;
     /** Who sends it. */
-    String from;
+    String senderId;
 
     private final StringBuilder data = new StringBuilder();
 
-    Incoming(String id, String from) {
-        this.id = id;
-        this.from = from;
+    ChunkAssembler(String transferId, String senderId) {
+        this.transferId = transferId;
+        this.senderId = senderId;
     }
 
     int length() {
@@ -18,13 +18,13 @@
     }
 
     /** Takes a part that begins where the last one ended; any other has come before, or out of turn. */
-    void add(int offset, String part) {
+    void add(int offset, String chunk) {
         if (offset == data.length()) {
-            data.append(part);
+            data.append(chunk);
         }
     }
 
-    String whole() {
+    String assembled() {
         return data.toString();
     }
 }
--- a/src/main/java/bramblespool/raft/Election.java
+++ b/src/main/java/bramblespool/raft/Election.java
@@ -1,6 +1,6 @@
 package bramblespool.raft;
 
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog.Event;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashSet;
@@ -11,132 +11,137 @@
 /** Elections, each after a pre-vote, so that a member that was cut off disturbs nobody when it is back. */
 final class Election {
     /** Candidacies in turn, without hearing of a leader, after which the next try comes soon. */
-    private static final int QUICK = 2;
+    private static final int QUICK_RETRIES = 2;
 
-    private final Raft raft;
-    private long at;
-    private int lost;
+    private final RaftNode raft;
+    private long nextCampaignMs;
+    private int consecutiveCampaigns;
 
-    Election(Raft raft) {
+    Election(RaftNode raft) {
         this.raft = raft;
-        at = raft.clock.now() + soon();
+        nextCampaignMs = raft.clock.now() + shortDelayMs();
     }
 
     /** Somebody leads. */
-    void over() {
-        lost = 0;
+    void onLeaderKnown() {
+        consecutiveCampaigns = 0;
     }
 
-    boolean due(long now) {
-        return now >= at;
+    boolean isDue(long nowMs) {
+        return nowMs >= nextCampaignMs;
     }
 
     void postpone() {
-        at = raft.clock.now() + raft.times.election() + (long) (raft.clock.chance() * raft.times.election());
+        nextCampaignMs = raft.clock.now()
+                + raft.timeouts.electionMs()
+                + (long) (raft.clock.chance() * raft.timeouts.electionMs());
     }
 
     /** Until a first try: short, for the pre-vote of a try too early disturbs nobody. */
-    private long soon() {
-        return raft.times.heartbeat() + (long) (raft.clock.chance() * raft.times.election() / 2);
+    private long shortDelayMs() {
+        return raft.timeouts.heartbeatMs() + (long) (raft.clock.chance() * raft.timeouts.electionMs() / 2);
     }
 
     /** The last leader hands over to this member: the others need not wait for that one's silence. */
-    void take() {
+    void campaignAfterTransfer() {
         campaign(false, true);
     }
 
-    void campaign(boolean pre) {
-        campaign(pre, false);
+    void campaign(boolean isPreVote) {
+        campaign(isPreVote, false);
     }
 
-    private void campaign(boolean pre, boolean handed) {
-        if (!pre) {
-            raft.candidate();
-            raft.log.say(Event.ELECTION, "term", raft.term());
+    private void campaign(boolean isPreVote, boolean isLeadershipTransfer) {
+        if (!isPreVote) {
+            raft.becomeCandidate();
+            raft.log.log(Event.ELECTION_STARTED, "term", raft.currentTerm());
             // Where the votes are split each tries again after a time of its own, longer than an answer should take.
-            if (++lost <= QUICK) {
-                at = raft.clock.now() + raft.times.call() + soon();
+            if (++consecutiveCampaigns <= QUICK_RETRIES) {
+                nextCampaignMs = raft.clock.now() + raft.timeouts.requestMs() + shortDelayMs();
             } else {
                 postpone();
             }
         } else {
-            at = raft.clock.now() + raft.times.heartbeat() + soon();
+            nextCampaignMs = raft.clock.now() + raft.timeouts.heartbeatMs() + shortDelayMs();
         }
-        long asked = pre ? raft.term() + 1 : raft.term();
+        long requestedTerm = isPreVote ? raft.currentTerm() + 1 : raft.currentTerm();
         List<String> voters = raft.voters();
-        Set<String> granted = new HashSet<>();
-        boolean[] won = {false};
-        Consumer<String> yes = from -> {
-            granted.add(from);
-            if (!won[0]
-                    && raft.group().majority(granted::contains)
-                    && (pre
-                            ? raft.role != Raft.Role.LEADER && raft.term() + 1 == asked
-                            : raft.role == Raft.Role.CANDIDATE && raft.term() == asked)) {
-                won[0] = true;
-                if (pre) {
+        Set<String> grantedBy = new HashSet<>();
+        boolean[] hasWon = {false};
+        Consumer<String> onGranted = voterId -> {
+            grantedBy.add(voterId);
+            if (!hasWon[0]
+                    && raft.voterSet().hasMajority(grantedBy::contains)
+                    && (isPreVote
+                            ? raft.role != RaftNode.Role.LEADER && raft.currentTerm() + 1 == requestedTerm
+                            : raft.role == RaftNode.Role.CANDIDATE && raft.currentTerm() == requestedTerm)) {
+                hasWon[0] = true;
+                if (isPreVote) {
                     campaign(false);
                 } else {
                     raft.becomeLeader();
                 }
             }
         };
-        if (pre) {
-            yes.accept(raft.self);
+        if (isPreVote) {
+            onGranted.accept(raft.localId);
         } else {
-            raft.persist(0, List.of(), null, () -> yes.accept(raft.self));
+            raft.persist(0, List.of(), null, () -> onGranted.accept(raft.localId));
         }
-        if (won[0]) {
+        if (hasWon[0]) {
             return;
         }
-        for (String v : voters) {
-            if (v.equals(raft.self)) {
+        for (String voter : voters) {
+            if (voter.equals(raft.localId)) {
                 continue;
             }
-            ObjectNode m = raft.message(v)
-                    .put("term", asked)
-                    .put("pre", pre)
-                    .put("handed", handed)
-                    .put("lastIndex", raft.entries.last())
-                    .put("lastTerm", raft.entries.lastTerm());
-            raft.wire.call(Raft.addressOf(v), "vote", m, raft.times.call(), a -> {
-                if (a == null) {
+            ObjectNode request = raft.newRequest(voter)
+                    .put("term", requestedTerm)
+                    .put("pre", isPreVote)
+                    .put("handed", isLeadershipTransfer)
+                    .put("lastIndex", raft.raftLog.lastIndex())
+                    .put("lastTerm", raft.raftLog.lastTerm());
+            raft.transport.call(RaftNode.addressOf(voter), "vote", request, raft.timeouts.requestMs(), response -> {
+                if (response == null) {
                     return;
                 }
-                if (a.path("term").asLong() > Math.max(raft.term(), pre ? asked : raft.term())) {
-                    raft.stepDown(a.path("term").asLong(), "newer term");
-                } else if (a.path("ok").asBoolean()) {
-                    yes.accept(v);
+                if (response.path("term").asLong()
+                        > Math.max(raft.currentTerm(), isPreVote ? requestedTerm : raft.currentTerm())) {
+                    raft.stepDown(response.path("term").asLong(), "newer term");
+                } else if (response.path("ok").asBoolean()) {
+                    onGranted.accept(voter);
                 }
             });
         }
     }
 
-    void voteAsked(JsonNode m, Consumer<ObjectNode> answer) {
-        long asked = m.path("term").asLong();
-        boolean pre = m.path("pre").asBoolean();
-        RaftLog entries = raft.entries;
-        boolean upToDate = m.path("lastTerm").asLong() > entries.lastTerm()
-                || m.path("lastTerm").asLong() == entries.lastTerm()
-                        && m.path("lastIndex").asLong() >= entries.last();
-        if (!raft.healthy() || raft.leaderNear() && !m.path("handed").asBoolean() || asked < raft.term()) {
-            answer.accept(raft.reply(false));
+    void handleVoteRequest(JsonNode request, Consumer<ObjectNode> callback) {
+        long requestedTerm = request.path("term").asLong();
+        boolean isPreVote = request.path("pre").asBoolean();
+        RaftLog raftLog = raft.raftLog;
+        boolean isUpToDate = request.path("lastTerm").asLong() > raftLog.lastTerm()
+                || request.path("lastTerm").asLong() == raftLog.lastTerm()
+                        && request.path("lastIndex").asLong() >= raftLog.lastIndex();
+        if (!raft.isDiskHealthy()
+                || raft.hasRecentLeader() && !request.path("handed").asBoolean()
+                || requestedTerm < raft.currentTerm()) {
+            callback.accept(raft.newResponse(false));
             return;
         }
-        if (pre) {
-            answer.accept(raft.reply(asked > raft.term() && upToDate));
+        if (isPreVote) {
+            callback.accept(raft.newResponse(requestedTerm > raft.currentTerm() && isUpToDate));
             return;
         }
-        if (asked > raft.term()) {
-            raft.stepDown(asked, "vote asked");
+        if (requestedTerm > raft.currentTerm()) {
+            raft.stepDown(requestedTerm, "vote asked");
         }
-        String from = m.path("from").asText();
-        if (!upToDate || !raft.voteFor(from)) {
-            answer.accept(raft.reply(false));
+        String candidateId = request.path("from").asText();
+        if (!isUpToDate || !raft.grantVote(candidateId)) {
+            callback.accept(raft.newResponse(false));
             return;
         }
         postpone();
-        ObjectNode yes = raft.reply(true);
-        raft.persist(0, List.of(), null, () -> answer.accept(yes));
+        ObjectNode response = raft.newResponse(true);
+        raft.persist(0, List.of(), null, () -> callback.accept(response));
     }
 }
--- a/src/main/java/bramblespool/raft/RaftLog.java
+++ b/src/main/java/bramblespool/raft/RaftLog.java
@@ -1,8 +1,8 @@
 package bramblespool.raft;
 
-import bramblespool.state.Ledger;
-import bramblespool.state.Vault;
-import bramblespool.state.Voters;
+import bramblespool.state.DurableStore;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.VoterSet;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -19,35 +19,37 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String MEMBERS = "members";
 
-    private Vault.Snapshot snapshot;
-    private final List<Vault.Entry> entries = new ArrayList<>();
+    private DurableStore.Snapshot snapshot;
+    private final List<DurableStore.LogEntry> entries = new ArrayList<>();
     /** The index and the term of the entry right before the first one held. */
-    private long before;
-
-    private long beforeTerm;
-    /** What {@link #voters} found; null after entries have changed. */
-    private Voters newestVoters;
-
-    RaftLog(Vault.Saved saved) {
-        snapshot = saved.snapshot() != null ? saved.snapshot() : new Vault.Snapshot(0, 0, List.of(), null);
-        before = snapshot.index();
-        beforeTerm = snapshot.term();
-        for (Vault.Entry e : saved.entries()) {
-            if (e.index() == last() + 1) {
-                entries.add(e);
+    private long precedingIndex;
+
+    private long precedingTerm;
+    /** What {@link #voterSet} found; null after entries have changed. */
+    private VoterSet cachedVoterSet;
+
+    RaftLog(DurableStore.PersistentState persistentState) {
+        snapshot = persistentState.snapshot() != null
+                ? persistentState.snapshot()
+                : new DurableStore.Snapshot(0, 0, List.of(), null);
+        precedingIndex = snapshot.index();
+        precedingTerm = snapshot.term();
+        for (DurableStore.LogEntry entry : persistentState.entries()) {
+            if (entry.index() == lastIndex() + 1) {
+                entries.add(entry);
             }
         }
     }
 
     /** An entry that makes these the voters. */
-    static ObjectNode members(Voters voters) {
-        ObjectNode e = Ledger.entry(MEMBERS);
-        ArrayNode list = e.putArray("voters");
-        voters.written().forEach(list::add);
-        return e;
+    static ObjectNode votersEntry(VoterSet voterSet) {
+        ObjectNode entry = ReplicatedState.entry(MEMBERS);
+        ArrayNode list = entry.putArray("voters");
+        voterSet.encoded().forEach(list::add);
+        return entry;
     }
 
-    static JsonNode parse(String data) {
+    static JsonNode parseEntry(String data) {
         try {
             return JSON.readTree(data);
         } catch (JsonProcessingException e) {
@@ -55,125 +57,128 @@
         }
     }
 
-    private static boolean names(Vault.Entry e) {
-        return e.data().startsWith("{\"k\":\"" + MEMBERS + "\"");
+    private static boolean isVotersEntry(DurableStore.LogEntry entry) {
+        return entry.data().startsWith("{\"k\":\"" + MEMBERS + "\"");
     }
 
-    private static List<String> votersOf(Vault.Entry e) {
-        List<String> out = new ArrayList<>();
-        parse(e.data()).path("voters").forEach(v -> out.add(v.asText()));
-        return out;
+    private static List<String> votersOf(DurableStore.LogEntry entry) {
+        List<String> voterIds = new ArrayList<>();
+        parseEntry(entry.data()).path("voters").forEach(voter -> voterIds.add(voter.asText()));
+        return voterIds;
     }
 
-    Vault.Snapshot snapshot() {
+    DurableStore.Snapshot snapshot() {
         return snapshot;
     }
 
     /** The index up to which the snapshot goes. */
-    long base() {
+    long snapshotIndex() {
         return snapshot.index();
     }
 
-    long last() {
-        return before + entries.size();
+    long lastIndex() {
+        return precedingIndex + entries.size();
     }
 
     /** The index right before the first entry held. */
-    long before() {
-        return before;
+    long precedingIndex() {
+        return precedingIndex;
     }
 
     /** How many letters the entries from one index to another hold. */
-    long letters(long from, long to) {
-        long sum = 0;
-        for (long i = from; i <= to; i++) {
-            sum += get(i).data().length();
+    long sizeInChars(long firstIndex, long endIndex) {
+        long totalChars = 0;
+        for (long index = firstIndex; index <= endIndex; index++) {
+            totalChars += get(index).data().length();
         }
-        return sum;
+        return totalChars;
     }
 
     long lastTerm() {
-        return termAt(last());
+        return termAt(lastIndex());
     }
 
     long termAt(long index) {
-        return index == before
-                ? beforeTerm
-                : index < before || index > last() ? -1 : get(index).term();
+        return index == precedingIndex
+                ? precedingTerm
+                : index < precedingIndex || index > lastIndex()
+                        ? -1
+                        : get(index).term();
     }
 
-    Vault.Entry get(long index) {
-        return entries.get((int) (index - before - 1));
+    DurableStore.LogEntry get(long index) {
+        return entries.get((int) (index - precedingIndex - 1));
     }
 
-    void add(Vault.Entry e) {
-        entries.add(e);
-        newestVoters = null;
+    void append(DurableStore.LogEntry entry) {
+        entries.add(entry);
+        cachedVoterSet = null;
     }
 
-    void truncate(long from) {
-        entries.subList((int) (from - before - 1), entries.size()).clear();
-        newestVoters = null;
+    void truncateFrom(long firstIndex) {
+        entries.subList((int) (firstIndex - precedingIndex - 1), entries.size()).clear();
+        cachedVoterSet = null;
     }
 
     /**
      * Takes a snapshot of the state as of an index in place of the entries up to there. As many of these stay in memory as
      * are together no larger than the snapshot, which is the better thing to send to whoever lacks more.
      */
-    void fold(long upTo, String data) {
-        List<String> votersThen = snapshot.voters();
-        for (long i = base() + 1; i <= upTo; i++) {
-            if (names(get(i))) {
-                votersThen = votersOf(get(i));
+    void compact(long upToIndex, String snapshotData) {
+        List<String> votersAtIndex = snapshot.voters();
+        for (long i = snapshotIndex() + 1; i <= upToIndex; i++) {
+            if (isVotersEntry(get(i))) {
+                votersAtIndex = votersOf(get(i));
             }
         }
-        snapshot = new Vault.Snapshot(upTo, termAt(upTo), votersThen, data);
-        long from = upTo;
-        long kept = 0;
-        while (from > before && kept + get(from).data().length() <= data.length()) {
-            kept += get(from).data().length();
-            from--;
+        snapshot = new DurableStore.Snapshot(upToIndex, termAt(upToIndex), votersAtIndex, snapshotData);
+        long discardIndex = upToIndex;
+        long retainedChars = 0;
+        while (discardIndex > precedingIndex
+                && retainedChars + get(discardIndex).data().length() <= snapshotData.length()) {
+            retainedChars += get(discardIndex).data().length();
+            discardIndex--;
         }
-        drop(from);
-        newestVoters = null;
+        discardUpTo(discardIndex);
+        cachedVoterSet = null;
     }
 
-    private void drop(long upTo) {
-        long termThen = termAt(upTo);
-        entries.subList(0, (int) (upTo - before)).clear();
-        before = upTo;
-        beforeTerm = termThen;
+    private void discardUpTo(long upToIndex) {
+        long termAtIndex = termAt(upToIndex);
+        entries.subList(0, (int) (upToIndex - precedingIndex)).clear();
+        precedingIndex = upToIndex;
+        precedingTerm = termAtIndex;
     }
 
     /**
      * Another member's snapshot in place of what it covers. Answers whether the entries behind it stay: they do where the
      * log holds the last entry that the snapshot covers, for some may be agreed because this member has them.
      */
-    boolean replace(Vault.Snapshot by) {
-        boolean agrees = termAt(by.index()) == by.term();
-        if (agrees) {
-            drop(by.index());
+    boolean installSnapshot(DurableStore.Snapshot newSnapshot) {
+        boolean hasMatchingEntry = termAt(newSnapshot.index()) == newSnapshot.term();
+        if (hasMatchingEntry) {
+            discardUpTo(newSnapshot.index());
         } else {
             entries.clear();
-            before = by.index();
-            beforeTerm = by.term();
+            precedingIndex = newSnapshot.index();
+            precedingTerm = newSnapshot.term();
         }
-        snapshot = by;
-        newestVoters = null;
-        return agrees;
+        snapshot = newSnapshot;
+        cachedVoterSet = null;
+        return hasMatchingEntry;
     }
 
     /** The voters as the newest entry that names them says, agreed or not. */
-    Voters voters() {
-        if (newestVoters == null) {
-            newestVoters = Voters.read(findVoters());
+    VoterSet voterSet() {
+        if (cachedVoterSet == null) {
+            cachedVoterSet = VoterSet.decode(findNewestVoters());
         }
-        return newestVoters;
+        return cachedVoterSet;
     }
 
-    private List<String> findVoters() {
+    private List<String> findNewestVoters() {
         for (int i = entries.size() - 1; i >= 0; i--) {
-            if (names(entries.get(i))) {
+            if (isVotersEntry(entries.get(i))) {
                 return votersOf(entries.get(i));
             }
         }
@@ -181,9 +186,9 @@
     }
 
     /** Whether an entry behind this index names voters. */
-    boolean changesVoters(long behind) {
-        for (long i = Math.max(behind, base()) + 1; i <= last(); i++) {
-            if (names(get(i))) {
+    boolean hasVotersEntryAfter(long afterIndex) {
+        for (long i = Math.max(afterIndex, snapshotIndex()) + 1; i <= lastIndex(); i++) {
+            if (isVotersEntry(get(i))) {
                 return true;
             }
         }
--- a/src/main/java/bramblespool/raft/Replication.java
+++ b/src/main/java/bramblespool/raft/Replication.java
@@ -1,7 +1,7 @@
 package bramblespool.raft;
 
-import bramblespool.state.Log.Event;
-import bramblespool.state.Vault;
+import bramblespool.state.DurableStore;
+import bramblespool.state.EventLog.Event;
 import bramblespool.transport.Clock;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -14,368 +14,409 @@
 
 /** How entries and snapshots come from the leader to the others, and when they are agreed. */
 final class Replication {
-    private static final int ENTRIES_AT_ONCE = 64;
+    private static final int MAX_ENTRIES_PER_REQUEST = 64;
 
-    private final Raft raft;
-    private final Map<String, Follower> followers = new LinkedHashMap<>();
+    private final RaftNode raft;
+    private final Map<String, FollowerProgress> followers = new LinkedHashMap<>();
     /** The highest index of this member's own log that is on its disk. */
-    private long durable;
+    private long durableIndex;
     /** What comes to this follower in parts, or null. */
-    private Incoming incoming;
+    private ChunkAssembler chunkAssembler;
 
-    Replication(Raft raft) {
+    Replication(RaftNode raft) {
         this.raft = raft;
-        this.durable = raft.entries.last();
+        this.durableIndex = raft.raftLog.lastIndex();
     }
 
-    Follower follower(String id) {
-        return followers.get(id);
+    FollowerProgress follower(String memberId) {
+        return followers.get(memberId);
     }
 
     /** The highest index known to be on that member's disk. */
-    private long match(String id) {
-        Follower f = followers.get(id);
-        return f == null ? 0 : f.match;
+    private long matchIndex(String memberId) {
+        FollowerProgress follower = followers.get(memberId);
+        return follower == null ? 0 : follower.matchIndex;
     }
 
     /** When that was sent which the member has answered last. */
-    long acked(String id) {
-        Follower f = followers.get(id);
-        return f == null ? 0 : f.ackedSent;
+    long lastAckedSendMs(String memberId) {
+        FollowerProgress follower = followers.get(memberId);
+        return follower == null ? 0 : follower.lastAckedSendMs;
     }
 
     /** Whether the member has answered since then. */
-    boolean heard(String id, long since) {
-        Follower f = followers.get(id);
-        return f != null && f.heard > since;
+    boolean hasContactSince(String memberId, long sinceMs) {
+        FollowerProgress follower = followers.get(memberId);
+        return follower != null && follower.lastContactMs > sinceMs;
     }
 
-    void clear() {
+    void clearFollowers() {
         followers.clear();
     }
 
     // ---- the leader's side
 
-    void replicate(boolean atOnce) {
-        if (raft.role != Raft.Role.LEADER) {
+    void replicate(boolean isImmediate) {
+        if (raft.role != RaftNode.Role.LEADER) {
             return;
         }
-        List<String> to = new ArrayList<>(raft.voters());
-        raft.configuration.learners().forEach(l -> {
-            if (!to.contains(l)) {
-                to.add(l);
+        List<String> recipients = new ArrayList<>(raft.voters());
+        raft.membershipChange.learners().forEach(learner -> {
+            if (!recipients.contains(learner)) {
+                recipients.add(learner);
             }
         });
-        to.remove(raft.self);
-        followers.keySet().removeIf(id -> !to.contains(id));
-        long now = raft.clock.now();
-        for (String id : to) {
-            Follower f = followers.computeIfAbsent(
-                    id, i -> new Follower(i, raft.entries.last() + 1, raft.lastHeard(i, now)));
-            if (!f.busy) {
-                if (atOnce
-                        || f.next <= raft.entries.last()
-                        || f.match < f.next - 1
-                        || now - f.ackedSent >= raft.times.heartbeat()) {
-                    send(f);
+        recipients.remove(raft.localId);
+        followers.keySet().removeIf(memberId -> !recipients.contains(memberId));
+        long nowMs = raft.clock.now();
+        for (String memberId : recipients) {
+            FollowerProgress follower = followers.computeIfAbsent(
+                    memberId, i -> new FollowerProgress(i, raft.raftLog.lastIndex() + 1, raft.lastContactMs(i, nowMs)));
+            if (!follower.isRequestInFlight) {
+                if (isImmediate
+                        || follower.nextIndex <= raft.raftLog.lastIndex()
+                        || follower.matchIndex < follower.nextIndex - 1
+                        || nowMs - follower.lastAckedSendMs >= raft.timeouts.heartbeatMs()) {
+                    sendNext(follower);
                 }
             } else {
-                f.again |= atOnce;
-                if (f.loaded && now - Math.max(f.busySince, f.beatSent) >= raft.times.heartbeat()) {
-                    beat(f, now);
+                follower.shouldSendAgain |= isImmediate;
+                if (follower.isPayloadInFlight
+                        && nowMs - Math.max(follower.inFlightSinceMs, follower.lastHeartbeatSentMs)
+                                >= raft.timeouts.heartbeatMs()) {
+                    sendHeartbeat(follower, nowMs);
                 }
             }
         }
     }
 
-    private void send(Follower f) {
-        choose(f);
-        long now = raft.clock.now();
+    private void sendNext(FollowerProgress follower) {
+        chooseTransfer(follower);
+        long nowMs = raft.clock.now();
         // Whoever is silent is first asked whether it is there.
-        boolean silent = now - f.heard > raft.times.election() * 2;
-        ObjectNode m = addressed(f);
-        if (f.transfer != null) {
-            sendPart(f, m, silent || !f.transfer.asked ? 0 : f.room());
+        boolean isSilent = nowMs - follower.lastContactMs > raft.timeouts.electionMs() * 2;
+        ObjectNode request = newFollowerRequest(follower);
+        if (follower.transfer != null) {
+            sendChunk(follower, request, isSilent || !follower.transfer.isOffsetKnown ? 0 : follower.chunkChars());
         } else {
-            sendEntries(f, m, silent ? 0 : f.room());
+            sendEntries(follower, request, isSilent ? 0 : follower.chunkChars());
         }
     }
 
-    private ObjectNode addressed(Follower f) {
-        ObjectNode m = raft.message(f.id)
-                .put("term", raft.term())
-                .put("control", raft.control)
-                .put("n", ++f.sent)
-                .put("answered", f.answered)
-                .put("right", raft.rights.granting());
-        raft.checkpoints.ask(f, m);
-        return m;
+    private ObjectNode newFollowerRequest(FollowerProgress follower) {
+        ObjectNode request = raft.newRequest(follower.memberId)
+                .put("term", raft.currentTerm())
+                .put("control", raft.controlAddress)
+                .put("n", ++follower.lastSentSequence)
+                .put("answered", follower.lastAnsweredSequence)
+                .put("right", raft.voterLeases.isGranting());
+        raft.stateDigests.addQuery(follower, request);
+        return request;
     }
 
     /** What goes to it next: a snapshot where entries are gone or are more than that, or an entry too large for one message. */
-    private void choose(Follower f) {
-        RaftLog entries = raft.entries;
-        if (f.transfer != null
-                && f.transfer.entry != null
-                && (f.renewFrom >= 0
-                        || f.next != f.transfer.index()
-                        || entries.termAt(f.next) != f.transfer.entry.term())) {
-            f.transfer = null;
+    private void chooseTransfer(FollowerProgress follower) {
+        RaftLog raftLog = raft.raftLog;
+        if (follower.transfer != null
+                && follower.transfer.entry != null
+                && (follower.snapshotRequestedFrom >= 0
+                        || follower.nextIndex != follower.transfer.lastIndex()
+                        || raftLog.termAt(follower.nextIndex) != follower.transfer.entry.term())) {
+            follower.transfer = null;
         }
-        if (f.transfer != null
-                && f.transfer.snapshot != null
-                && (!f.transfer.asked || raft.clock.now() - f.heard > raft.times.absent())) {
-            f.transfer = null;
+        if (follower.transfer != null
+                && follower.transfer.snapshot != null
+                && (!follower.transfer.isOffsetKnown
+                        || raft.clock.now() - follower.lastContactMs > raft.timeouts.absentMs())) {
+            follower.transfer = null;
         }
-        if (f.transfer != null) {
+        if (follower.transfer != null) {
             // One that is under way is finished, also when a newer one is there: else it might never end.
             return;
         }
-        if (f.renewFrom >= 0 && (entries.base() < f.renewFrom || entries.base() == 0)) {
-            raft.fold();
+        if (follower.snapshotRequestedFrom >= 0
+                && (raftLog.snapshotIndex() < follower.snapshotRequestedFrom || raftLog.snapshotIndex() == 0)) {
+            raft.takeSnapshot();
         }
-        if (f.renewFrom >= 0
-                || f.next <= entries.before()
-                || f.next <= entries.base()
-                        && entries.letters(f.next, entries.base())
-                                > entries.snapshot().data().length()) {
-            f.transfer = new Transfer(entries.snapshot());
-        } else if (f.next <= entries.last() && entries.get(f.next).data().length() > f.room()) {
-            f.transfer = new Transfer(entries.get(f.next));
+        if (follower.snapshotRequestedFrom >= 0
+                || follower.nextIndex <= raftLog.precedingIndex()
+                || follower.nextIndex <= raftLog.snapshotIndex()
+                        && raftLog.sizeInChars(follower.nextIndex, raftLog.snapshotIndex())
+                                > raftLog.snapshot().data().length()) {
+            follower.transfer = new ChunkedTransfer(raftLog.snapshot());
+        } else if (follower.nextIndex <= raftLog.lastIndex()
+                && raftLog.get(follower.nextIndex).data().length() > follower.chunkChars()) {
+            follower.transfer = new ChunkedTransfer(raftLog.get(follower.nextIndex));
         }
     }
 
-    private void sendEntries(Follower f, ObjectNode m, int room) {
-        RaftLog entries = raft.entries;
-        long prev = f.next - 1;
-        long upTo = prev;
-        m.put("prevIndex", prev).put("prevTerm", entries.termAt(prev)).put("commit", raft.commit);
-        ArrayNode list = m.putArray("entries");
-        int load = 0;
-        while (upTo < entries.last()
-                && upTo - prev < ENTRIES_AT_ONCE
-                && load + entries.get(upTo + 1).data().length() <= room) {
-            Vault.Entry e = entries.get(++upTo);
-            load += e.data().length();
-            list.addObject().put("term", e.term()).put("data", e.data());
+    private void sendEntries(FollowerProgress follower, ObjectNode request, int maxChars) {
+        RaftLog raftLog = raft.raftLog;
+        long previousIndex = follower.nextIndex - 1;
+        long lastSentIndex = previousIndex;
+        request.put("prevIndex", previousIndex)
+                .put("prevTerm", raftLog.termAt(previousIndex))
+                .put("commit", raft.commitIndex);
+        ArrayNode entryArray = request.putArray("entries");
+        int payloadChars = 0;
+        while (lastSentIndex < raftLog.lastIndex()
+                && lastSentIndex - previousIndex < MAX_ENTRIES_PER_REQUEST
+                && payloadChars + raftLog.get(lastSentIndex + 1).data().length() <= maxChars) {
+            DurableStore.LogEntry entry = raftLog.get(++lastSentIndex);
+            payloadChars += entry.data().length();
+            entryArray.addObject().put("term", entry.term()).put("data", entry.data());
         }
-        long sentUpTo = upTo;
-        call(f, "append", m, load, a -> {
-            if (a.path("ok").asBoolean()) {
-                taken(f, sentUpTo, a);
+        long replicatedIndex = lastSentIndex;
+        call(follower, "append", request, payloadChars, response -> {
+            if (response.path("ok").asBoolean()) {
+                onReplicated(follower, replicatedIndex, response);
             } else {
-                f.next = Math.max(1, Math.min(f.next - 1, a.path("hint").asLong() + 1));
-                f.again = true;
+                follower.nextIndex = Math.max(
+                        1,
+                        Math.min(follower.nextIndex - 1, response.path("hint").asLong() + 1));
+                follower.shouldSendAgain = true;
             }
         });
     }
 
-    private void sendPart(Follower f, ObjectNode m, int room) {
-        Transfer t = f.transfer;
-        String part = t.data.substring(t.offset, Math.min(t.data.length(), t.offset + room));
-        m.put("id", t.id)
-                .put("index", t.index())
-                .put("size", t.data.length())
-                .put("offset", t.offset)
-                .put("data", part);
-        if (t.snapshot != null) {
-            m.put("lastTerm", t.snapshot.term());
-            ArrayNode v = m.putArray("voters");
-            t.snapshot.voters().forEach(v::add);
+    private void sendChunk(FollowerProgress follower, ObjectNode request, int maxChars) {
+        ChunkedTransfer transfer = follower.transfer;
+        String chunk =
+                transfer.data.substring(transfer.offset, Math.min(transfer.data.length(), transfer.offset + maxChars));
+        request.put("id", transfer.transferId)
+                .put("index", transfer.lastIndex())
+                .put("size", transfer.data.length())
+                .put("offset", transfer.offset)
+                .put("data", chunk);
+        if (transfer.snapshot != null) {
+            request.put("lastTerm", transfer.snapshot.term());
+            ArrayNode voterArray = request.putArray("voters");
+            transfer.snapshot.voters().forEach(voterArray::add);
         } else {
-            m.put("prevIndex", f.next - 1)
-                    .put("prevTerm", raft.entries.termAt(f.next - 1))
-                    .put("entryTerm", t.entry.term())
-                    .put("commit", raft.commit);
+            request.put("prevIndex", follower.nextIndex - 1)
+                    .put("prevTerm", raft.raftLog.termAt(follower.nextIndex - 1))
+                    .put("entryTerm", transfer.entry.term())
+                    .put("commit", raft.commitIndex);
         }
-        call(f, "part", m, part.length(), a -> {
-            f.again = true;
-            if (!a.path("ok").asBoolean()) {
-                f.transfer = null;
-                if (a.has("hint")) {
-                    f.next = Math.max(1, Math.min(f.next - 1, a.path("hint").asLong() + 1));
+        call(follower, "part", request, chunk.length(), response -> {
+            follower.shouldSendAgain = true;
+            if (!response.path("ok").asBoolean()) {
+                follower.transfer = null;
+                if (response.has("hint")) {
+                    follower.nextIndex = Math.max(
+                            1,
+                            Math.min(
+                                    follower.nextIndex - 1,
+                                    response.path("hint").asLong() + 1));
                 }
-            } else if (a.has("have")) {
-                f.snapshots += t.asked ? 0 : 1;
-                t.asked = true;
-                t.offset = Math.max(0, Math.min(t.data.length(), a.path("have").asInt()));
+            } else if (response.has("have")) {
+                follower.snapshotsSent += transfer.isOffsetKnown ? 0 : 1;
+                transfer.isOffsetKnown = true;
+                transfer.offset = Math.max(
+                        0,
+                        Math.min(transfer.data.length(), response.path("have").asInt()));
             } else {
-                f.transfer = null;
-                if (t.snapshot != null) {
-                    f.differs = false;
-                    raft.checkpoints.forget(f.id);
+                follower.transfer = null;
+                if (transfer.snapshot != null) {
+                    follower.hasDivergedState = false;
+                    raft.stateDigests.forgetMember(follower.memberId);
                 }
-                taken(f, t.index(), a);
+                onReplicated(follower, transfer.lastIndex(), response);
             }
         });
     }
 
     /** Sends one message with so much in it, and takes what every answer tells before what this one does. */
-    private void call(Follower f, String kind, ObjectNode m, int load, Consumer<JsonNode> then) {
-        long sentAt = raft.clock.now();
-        f.busy = true;
-        f.again = false;
-        f.loaded = load > 0;
-        f.busySince = sentAt;
-        long inTerm = raft.term();
-        raft.wire.call(Raft.addressOf(f.id), kind, m, f.limit(raft.times, load, kind.equals("part")), a -> {
-            f.busy = false;
-            if (a == null) {
-                f.missed(load);
-            } else if (heard(f, inTerm, m, sentAt, a)) {
-                if (!a.has("stored")) {
-                    f.took(raft.clock.now() - sentAt, load, raft.times);
-                }
-                then.accept(a);
-                raft.reads.settle();
-                if (raft.role == Raft.Role.LEADER
-                        && followers.get(f.id) == f
-                        && (f.again || f.next <= raft.entries.last() || !raft.reads.isEmpty())) {
-                    send(f);
-                }
-            }
-        });
+    private void call(
+            FollowerProgress follower,
+            String kind,
+            ObjectNode request,
+            int payloadChars,
+            Consumer<JsonNode> onResponse) {
+        long sentAtMs = raft.clock.now();
+        follower.isRequestInFlight = true;
+        follower.shouldSendAgain = false;
+        follower.isPayloadInFlight = payloadChars > 0;
+        follower.inFlightSinceMs = sentAtMs;
+        long requestTerm = raft.currentTerm();
+        raft.transport.call(
+                RaftNode.addressOf(follower.memberId),
+                kind,
+                request,
+                follower.requestTimeoutMs(raft.timeouts, payloadChars, kind.equals("part")),
+                response -> {
+                    follower.isRequestInFlight = false;
+                    if (response == null) {
+                        follower.onTimeout(payloadChars);
+                    } else if (hasContactSince(follower, requestTerm, request, sentAtMs, response)) {
+                        if (!response.has("stored")) {
+                            follower.onAnswered(raft.clock.now() - sentAtMs, payloadChars, raft.timeouts);
+                        }
+                        onResponse.accept(response);
+                        raft.readIndex.completeConfirmed();
+                        if (raft.role == RaftNode.Role.LEADER
+                                && followers.get(follower.memberId) == follower
+                                && (follower.shouldSendAgain
+                                        || follower.nextIndex <= raft.raftLog.lastIndex()
+                                        || !raft.readIndex.isEmpty())) {
+                            sendNext(follower);
+                        }
+                    }
+                });
     }
 
-    private boolean heard(Follower f, long inTerm, ObjectNode m, long sentAt, JsonNode a) {
-        if (raft.role != Raft.Role.LEADER || raft.term() != inTerm || followers.get(f.id) != f) {
+    private boolean hasContactSince(
+            FollowerProgress follower, long requestTerm, ObjectNode request, long sentAtMs, JsonNode response) {
+        if (raft.role != RaftNode.Role.LEADER
+                || raft.currentTerm() != requestTerm
+                || followers.get(follower.memberId) != follower) {
             return false;
         }
-        if (a.path("term").asLong() > raft.term()) {
-            raft.stepDown(a.path("term").asLong(), "newer term");
+        if (response.path("term").asLong() > raft.currentTerm()) {
+            raft.stepDown(response.path("term").asLong(), "newer term");
             return false;
         }
-        f.heard = raft.clock.now();
-        f.answered = Math.max(f.answered, m.path("n").asLong());
-        f.settled = a.path("settled").asBoolean();
-        f.ackedSent = Math.max(f.ackedSent, sentAt);
-        f.renewFrom = a.path("renew").asLong(-1);
-        raft.checkpoints.heard(f, m, a);
-        return raft.role == Raft.Role.LEADER;
+        follower.lastContactMs = raft.clock.now();
+        follower.lastAnsweredSequence =
+                Math.max(follower.lastAnsweredSequence, request.path("n").asLong());
+        follower.isSynced = response.path("settled").asBoolean();
+        follower.lastAckedSendMs = Math.max(follower.lastAckedSendMs, sentAtMs);
+        follower.snapshotRequestedFrom = response.path("renew").asLong(-1);
+        raft.stateDigests.onResponse(follower, request, response);
+        return raft.role == RaftNode.Role.LEADER;
     }
 
     /** A heartbeat beside a message that takes long to cross a slow link or to reach a slow disk. */
-    private void beat(Follower f, long now) {
-        f.beatSent = now;
-        long inTerm = raft.term();
-        ObjectNode m = addressed(f);
-        raft.wire.call(Raft.addressOf(f.id), "heartbeat", m, raft.times.call(), a -> {
-            if (a != null && heard(f, inTerm, m, now, a)) {
-                raft.reads.settle();
-            }
-        });
+    private void sendHeartbeat(FollowerProgress follower, long nowMs) {
+        follower.lastHeartbeatSentMs = nowMs;
+        long requestTerm = raft.currentTerm();
+        ObjectNode request = newFollowerRequest(follower);
+        raft.transport.call(
+                RaftNode.addressOf(follower.memberId), "heartbeat", request, raft.timeouts.requestMs(), response -> {
+                    if (response != null && hasContactSince(follower, requestTerm, request, nowMs, response)) {
+                        raft.readIndex.completeConfirmed();
+                    }
+                });
     }
 
     /** It holds everything up to an index, and has it on its disk as well unless it says how far that is. */
-    private void taken(Follower f, long upTo, JsonNode a) {
-        f.match = Math.max(f.match, Math.min(upTo, a.path("stored").asLong(upTo)));
-        f.next = Math.max(f.match, upTo) + 1;
-        if (f.match >= raft.commit) {
-            f.snapshots = 0;
+    private void onReplicated(FollowerProgress follower, long upToIndex, JsonNode response) {
+        follower.matchIndex = Math.max(
+                follower.matchIndex, Math.min(upToIndex, response.path("stored").asLong(upToIndex)));
+        follower.nextIndex = Math.max(follower.matchIndex, upToIndex) + 1;
+        if (follower.matchIndex >= raft.commitIndex) {
+            follower.snapshotsSent = 0;
         }
-        advance();
+        advanceCommitIndex();
     }
 
-    List<Progress> progress() {
-        long now = raft.clock.now();
-        List<Progress> out = new ArrayList<>();
-        for (Follower f : followers.values()) {
-            Transfer t = f.transfer;
-            out.add(new Progress(
-                    f.id,
-                    f.match,
-                    raft.entries.last() - f.match,
-                    t == null ? 0 : t.offset,
-                    t == null ? 0 : t.data.length(),
-                    f.snapshots,
-                    now - f.heard,
-                    f.differs || f.renewFrom >= 0));
+    List<MemberProgress> memberProgress() {
+        long nowMs = raft.clock.now();
+        List<MemberProgress> result = new ArrayList<>();
+        for (FollowerProgress follower : followers.values()) {
+            ChunkedTransfer transfer = follower.transfer;
+            result.add(new MemberProgress(
+                    follower.memberId,
+                    follower.matchIndex,
+                    raft.raftLog.lastIndex() - follower.matchIndex,
+                    transfer == null ? 0 : transfer.offset,
+                    transfer == null ? 0 : transfer.data.length(),
+                    follower.snapshotsSent,
+                    nowMs - follower.lastContactMs,
+                    follower.hasDivergedState || follower.snapshotRequestedFrom >= 0));
         }
-        return out;
+        return result;
     }
 
     /** Own entries are on the disk. */
-    void stored(long index) {
-        durable = Math.max(durable, index);
-        advance();
+    void onStored(long index) {
+        durableIndex = Math.max(durableIndex, index);
+        advanceCommitIndex();
     }
 
     /** Whether all that is agreed lies on as many disks as are wanted without that member's. */
-    boolean agreedWithout(String id) {
-        List<String> others = raft.voters().stream().filter(v -> !v.equals(id)).toList();
-        long there = others.stream()
-                .filter(v -> (v.equals(raft.self) ? durable : match(v)) >= raft.commit)
+    boolean isCommittedWithout(String memberId) {
+        List<String> others =
+                raft.voters().stream().filter(voter -> !voter.equals(memberId)).toList();
+        long replicaCount = others.stream()
+                .filter(voter -> (voter.equals(raft.localId) ? durableIndex : matchIndex(voter)) >= raft.commitIndex)
                 .count();
-        return there >= Math.min(raft.copies, others.size());
+        return replicaCount >= Math.min(raft.requiredReplicas, others.size());
     }
 
     /** A voter that has all of this leader's log, or null. */
-    String heir() {
-        for (String v : raft.voters()) {
-            Follower f = followers.get(v);
-            if (f != null && f.match == raft.entries.last() && raft.clock.now() - f.heard < raft.times.election()) {
-                return v;
+    String findSuccessor() {
+        for (String voter : raft.voters()) {
+            FollowerProgress follower = followers.get(voter);
+            if (follower != null
+                    && follower.matchIndex == raft.raftLog.lastIndex()
+                    && raft.clock.now() - follower.lastContactMs < raft.timeouts.electionMs()) {
+                return voter;
             }
         }
         return null;
     }
 
-    private void advance() {
-        long agreed = raft.group().reached(v -> v.equals(raft.self) ? durable : match(v), raft.copies);
-        if (agreed > raft.commit && raft.entries.termAt(agreed) == raft.term()) {
-            raft.commit = agreed;
-            raft.apply();
+    private void advanceCommitIndex() {
+        long quorumIndex = raft.voterSet()
+                .quorumValue(
+                        voter -> voter.equals(raft.localId) ? durableIndex : matchIndex(voter), raft.requiredReplicas);
+        if (quorumIndex > raft.commitIndex && raft.raftLog.termAt(quorumIndex) == raft.currentTerm()) {
+            raft.commitIndex = quorumIndex;
+            raft.applyCommitted();
             replicate(true);
         }
     }
 
     // ---- the follower's side
 
-    void appendAsked(JsonNode m, Consumer<ObjectNode> answer) {
-        List<Vault.Entry> sent = new ArrayList<>();
-        long at = m.path("prevIndex").asLong();
-        for (JsonNode n : m.path("entries")) {
-            sent.add(new Vault.Entry(
-                    ++at, n.path("term").asLong(), n.path("data").asText()));
+    void handleAppendRequest(JsonNode request, Consumer<ObjectNode> callback) {
+        List<DurableStore.LogEntry> receivedEntries = new ArrayList<>();
+        long index = request.path("prevIndex").asLong();
+        for (JsonNode node : request.path("entries")) {
+            receivedEntries.add(new DurableStore.LogEntry(
+                    ++index, node.path("term").asLong(), node.path("data").asText()));
         }
-        append(m, sent, answer);
+        appendEntries(request, receivedEntries, callback);
     }
 
-    private void append(JsonNode m, List<Vault.Entry> sent, Consumer<ObjectNode> answer) {
-        RaftLog entries = raft.entries;
-        long prev = m.path("prevIndex").asLong();
-        if (prev > entries.last()
-                || prev >= entries.base()
-                        && entries.termAt(prev) != m.path("prevTerm").asLong()) {
-            answer.accept(raft.reply(false).put("hint", Math.min(entries.last(), prev - 1)));
+    private void appendEntries(
+            JsonNode request, List<DurableStore.LogEntry> receivedEntries, Consumer<ObjectNode> callback) {
+        RaftLog raftLog = raft.raftLog;
+        long previousIndex = request.path("prevIndex").asLong();
+        if (previousIndex > raftLog.lastIndex()
+                || previousIndex >= raftLog.snapshotIndex()
+                        && raftLog.termAt(previousIndex)
+                                != request.path("prevTerm").asLong()) {
+            callback.accept(raft.newResponse(false).put("hint", Math.min(raftLog.lastIndex(), previousIndex - 1)));
             return;
         }
-        List<Vault.Entry> added = new ArrayList<>();
-        long truncate = 0;
-        for (Vault.Entry e : sent) {
-            long at = e.index();
-            if (at <= entries.base()) {
+        List<DurableStore.LogEntry> appendedEntries = new ArrayList<>();
+        long truncateFrom = 0;
+        for (DurableStore.LogEntry entry : receivedEntries) {
+            long index = entry.index();
+            if (index <= raftLog.snapshotIndex()) {
                 continue;
             }
-            if (at <= entries.last() && entries.termAt(at) != e.term()) {
-                truncate = at;
-                durable = Math.min(durable, at - 1);
-                entries.truncate(at);
+            if (index <= raftLog.lastIndex() && raftLog.termAt(index) != entry.term()) {
+                truncateFrom = index;
+                durableIndex = Math.min(durableIndex, index - 1);
+                raftLog.truncateFrom(index);
             }
-            if (at > entries.last()) {
-                entries.add(e);
-                added.add(e);
+            if (index > raftLog.lastIndex()) {
+                raftLog.append(entry);
+                appendedEntries.add(entry);
             }
         }
-        long newCommit = Math.min(m.path("commit").asLong(), prev + sent.size());
-        if (added.isEmpty() && truncate == 0 && raft.vault.waitingSince() < 0) {
-            answer.accept(raft.reply(true));
+        long newCommitIndex = Math.min(request.path("commit").asLong(), previousIndex + receivedEntries.size());
+        if (appendedEntries.isEmpty() && truncateFrom == 0 && raft.durableStore.pendingSinceMs() < 0) {
+            callback.accept(raft.newResponse(true));
         } else {
-            store(truncate, added, null, answer);
+            persistAndRespond(truncateFrom, appendedEntries, null, callback);
         }
-        if (newCommit > raft.commit) {
-            raft.commit = newCommit;
-            raft.apply();
+        if (newCommitIndex > raft.commitIndex) {
+            raft.commitIndex = newCommitIndex;
+            raft.applyCommitted();
         }
     }
 
@@ -384,105 +425,120 @@
      * disk is, so that a slow disk is not taken for a slow link, and what follows need not wait for it; unless the disk
      * hangs, for then this member is not to be counted on.
      */
-    private void store(long truncate, List<Vault.Entry> added, Vault.Snapshot snapshot, Consumer<ObjectNode> answer) {
-        long inTerm = raft.term();
-        ObjectNode yes = raft.reply(true);
-        Clock.Timer[] early = new Clock.Timer[1];
-        boolean[] over = {false};
-        raft.persist(truncate, added, snapshot, () -> {
-            long last = snapshot != null
+    private void persistAndRespond(
+            long truncateFrom,
+            List<DurableStore.LogEntry> appendedEntries,
+            DurableStore.Snapshot snapshot,
+            Consumer<ObjectNode> callback) {
+        long requestTerm = raft.currentTerm();
+        ObjectNode response = raft.newResponse(true);
+        Clock.Timer[] earlyResponseTimer = new Clock.Timer[1];
+        boolean[] isAnswered = {false};
+        raft.persist(truncateFrom, appendedEntries, snapshot, () -> {
+            long lastIndex = snapshot != null
                     ? snapshot.index()
-                    : added.isEmpty() ? 0 : added.get(added.size() - 1).index();
-            long term = snapshot != null
+                    : appendedEntries.isEmpty()
+                            ? 0
+                            : appendedEntries.get(appendedEntries.size() - 1).index();
+            long lastTerm = snapshot != null
                     ? snapshot.term()
-                    : added.isEmpty() ? 0 : added.get(added.size() - 1).term();
+                    : appendedEntries.isEmpty()
+                            ? 0
+                            : appendedEntries.get(appendedEntries.size() - 1).term();
             // It may have been cut off again, and another be in its place.
-            if (last > 0 && (last <= raft.entries.base() || raft.entries.termAt(last) == term)) {
-                durable = Math.max(durable, last);
+            if (lastIndex > 0
+                    && (lastIndex <= raft.raftLog.snapshotIndex() || raft.raftLog.termAt(lastIndex) == lastTerm)) {
+                durableIndex = Math.max(durableIndex, lastIndex);
             }
-            if (!over[0]) {
-                over[0] = true;
-                if (early[0] != null) {
-                    early[0].cancel();
+            if (!isAnswered[0]) {
+                isAnswered[0] = true;
+                if (earlyResponseTimer[0] != null) {
+                    earlyResponseTimer[0].cancel();
                 }
-                answer.accept(yes);
+                callback.accept(response);
             }
         });
-        early[0] = raft.clock.after(raft.times.heartbeat() / 2, () -> {
-            if (!over[0] && raft.term() == inTerm && raft.healthy()) {
-                over[0] = true;
-                answer.accept(yes.put("stored", durable));
+        earlyResponseTimer[0] = raft.clock.after(raft.timeouts.heartbeatMs() / 2, () -> {
+            if (!isAnswered[0] && raft.currentTerm() == requestTerm && raft.isDiskHealthy()) {
+                isAnswered[0] = true;
+                callback.accept(response.put("stored", durableIndex));
             }
         });
     }
 
-    void partAsked(JsonNode m, Consumer<ObjectNode> answer) {
-        long index = m.path("index").asLong();
-        boolean ofSnapshot = !m.has("entryTerm");
-        if (ofSnapshot && index <= raft.commit && raft.fit()) {
-            incoming = null;
-            store(0, List.of(), null, answer);
+    void handleChunk(JsonNode request, Consumer<ObjectNode> callback) {
+        long index = request.path("index").asLong();
+        boolean isSnapshotChunk = !request.has("entryTerm");
+        if (isSnapshotChunk && index <= raft.commitIndex && raft.isStateConsistent()) {
+            chunkAssembler = null;
+            persistAndRespond(0, List.of(), null, callback);
             return;
         }
-        if (!ofSnapshot && raft.entries.termAt(index) == m.path("entryTerm").asLong()) {
-            incoming = null;
-            append(m, List.of(raft.entries.get(index)), answer);
+        if (!isSnapshotChunk
+                && raft.raftLog.termAt(index) == request.path("entryTerm").asLong()) {
+            chunkAssembler = null;
+            appendEntries(request, List.of(raft.raftLog.get(index)), callback);
             return;
         }
-        String id = m.path("id").asText();
-        String from = m.path("from").asText();
-        if (incoming == null || !incoming.id.equals(id)) {
-            incoming = new Incoming(id, from);
-        } else if (!incoming.from.equals(from)) {
-            incoming.from = from;
-            raft.log.say(
+        String transferId = request.path("id").asText();
+        String leaderId = request.path("from").asText();
+        if (chunkAssembler == null || !chunkAssembler.transferId.equals(transferId)) {
+            chunkAssembler = new ChunkAssembler(transferId, leaderId);
+        } else if (!chunkAssembler.senderId.equals(leaderId)) {
+            chunkAssembler.senderId = leaderId;
+            raft.log.log(
                     Event.TRANSFER_RESUMED,
                     "index",
                     index,
                     "leader",
-                    from,
-                    "have",
-                    incoming.length(),
-                    "size",
-                    m.path("size").asInt());
+                    leaderId,
+                    "receivedChars",
+                    chunkAssembler.length(),
+                    "totalChars",
+                    request.path("size").asInt());
         }
-        incoming.add(m.path("offset").asInt(), m.path("data").asText());
-        if (incoming.length() < m.path("size").asInt()) {
-            answer.accept(raft.reply(true).put("have", incoming.length()));
+        chunkAssembler.add(request.path("offset").asInt(), request.path("data").asText());
+        if (chunkAssembler.length() < request.path("size").asInt()) {
+            callback.accept(raft.newResponse(true).put("have", chunkAssembler.length()));
             return;
         }
-        String whole = incoming.whole();
-        incoming = null;
-        if (ofSnapshot) {
-            install(m, whole, answer);
+        String assembledData = chunkAssembler.assembled();
+        chunkAssembler = null;
+        if (isSnapshotChunk) {
+            installSnapshot(request, assembledData, callback);
         } else {
-            append(m, List.of(new Vault.Entry(index, m.path("entryTerm").asLong(), whole)), answer);
+            appendEntries(
+                    request,
+                    List.of(new DurableStore.LogEntry(
+                            index, request.path("entryTerm").asLong(), assembledData)),
+                    callback);
         }
     }
 
-    private void install(JsonNode m, String data, Consumer<ObjectNode> answer) {
-        long index = m.path("index").asLong();
-        String state = Seal.open(data);
-        if (state == null || index < raft.entries.base()) {
-            raft.log.say(
-                    Event.SNAPSHOT_REFUSED,
+    private void installSnapshot(JsonNode request, String data, Consumer<ObjectNode> callback) {
+        long index = request.path("index").asLong();
+        String state = SnapshotChecksum.verify(data);
+        if (state == null || index < raft.raftLog.snapshotIndex()) {
+            raft.log.log(
+                    Event.SNAPSHOT_REJECTED,
                     "index",
                     index,
-                    "why",
+                    "cause",
                     state == null ? "digest" : "older than what is here");
-            answer.accept(raft.reply(false));
+            callback.accept(raft.newResponse(false));
             return;
         }
         List<String> voters = new ArrayList<>();
-        m.path("voters").forEach(v -> voters.add(v.asText()));
-        Vault.Snapshot s = new Vault.Snapshot(index, m.path("lastTerm").asLong(), voters, data);
-        long base = raft.entries.base();
-        boolean entriesStay = raft.restore(s, state);
-        if (!entriesStay) {
-            durable = Math.min(durable, base);
+        request.path("voters").forEach(voter -> voters.add(voter.asText()));
+        DurableStore.Snapshot snapshot =
+                new DurableStore.Snapshot(index, request.path("lastTerm").asLong(), voters, data);
+        long previousSnapshotIndex = raft.raftLog.snapshotIndex();
+        boolean keepsEntries = raft.restoreSnapshot(snapshot, state);
+        if (!keepsEntries) {
+            durableIndex = Math.min(durableIndex, previousSnapshotIndex);
         }
-        raft.log.say(Event.SNAPSHOT_INSTALLED, "index", index);
-        store(entriesStay ? 0 : 1, List.of(), s, answer);
-        raft.apply();
+        raft.log.log(Event.SNAPSHOT_INSTALLED, "index", index);
+        persistAndRespond(keepsEntries ? 0 : 1, List.of(), snapshot, callback);
+        raft.applyCommitted();
     }
 }
--- a/src/main/java/bramblespool/raft/Seal.java
+++ b/src/main/java/bramblespool/raft/SnapshotChecksum.java
@@ -6,33 +6,37 @@
 import java.util.HexFormat;
 
 /** The state of a snapshot with the digest of its text before it, so that one that was damaged is known. */
-final class Seal {
+final class SnapshotChecksum {
     /** Letters of a SHA-256 digest in hex. */
-    private static final int DIGEST = 64;
+    private static final int DIGEST_CHARS = 64;
 
-    private static final int SHORT = 16;
-    private static final int AT_ONCE = 1 << 15;
+    private static final int SHORT_DIGEST_CHARS = 16;
+    private static final int CHUNK_CHARS = 1 << 15;
 
-    private Seal() {}
+    private SnapshotChecksum() {}
 
-    static String seal(String state) {
+    static String addChecksum(String state) {
         return digest(state, 0) + state;
     }
 
     /** The state as it was sealed; one written before there were seals as it is; null where it does not fit its digest. */
-    static String open(String data) {
+    static String verify(String data) {
         if (data.startsWith("{")) {
             return data;
         }
-        return data.length() > DIGEST && data.startsWith(digest(data, DIGEST)) ? data.substring(DIGEST) : null;
+        return data.length() > DIGEST_CHARS && data.startsWith(digest(data, DIGEST_CHARS))
+                ? data.substring(DIGEST_CHARS)
+                : null;
     }
 
     /** What members compare: a part of the digest is enough to tell states apart that differ by a fault. */
-    static String brief(String data) {
-        return data.startsWith("{") ? digest(data, 0).substring(0, SHORT) : data.substring(0, SHORT);
+    static String shortDigest(String data) {
+        return data.startsWith("{")
+                ? digest(data, 0).substring(0, SHORT_DIGEST_CHARS)
+                : data.substring(0, SHORT_DIGEST_CHARS);
     }
 
-    static boolean sealed(String data) {
+    static boolean hasChecksum(String data) {
         return !data.startsWith("{");
     }
 
@@ -40,14 +44,14 @@
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
             // Piece by piece: no second copy of all the documents in bytes.
-            int i = from;
-            while (i < text.length()) {
-                int to = Math.min(text.length(), i + AT_ONCE);
-                if (to < text.length() && Character.isHighSurrogate(text.charAt(to - 1))) {
-                    to--;
+            int position = from;
+            while (position < text.length()) {
+                int chunkEnd = Math.min(text.length(), position + CHUNK_CHARS);
+                if (chunkEnd < text.length() && Character.isHighSurrogate(text.charAt(chunkEnd - 1))) {
+                    chunkEnd--;
                 }
-                sha.update(text.substring(i, to).getBytes(StandardCharsets.UTF_8));
-                i = to;
+                sha.update(text.substring(position, chunkEnd).getBytes(StandardCharsets.UTF_8));
+                position = chunkEnd;
             }
             return HexFormat.of().formatHex(sha.digest());
         } catch (NoSuchAlgorithmException e) {
--- a/src/main/java/bramblespool/raft/StateMachine.java
+++ b/src/main/java/bramblespool/raft/StateMachine.java
@@ -9,11 +9,11 @@
 
     ObjectNode snapshot();
 
-    void restore(JsonNode data);
+    void restore(JsonNode snapshot);
 
     /** Called with true once this member leads and has applied all that was agreed before. */
-    void leading(boolean leads);
+    void onLeadershipChanged(boolean isLeader);
 
     /** Whether this member, as a voter, holds all that the voters before it had agreed besides the log. */
-    boolean settled();
+    boolean isSynced();
 }
--- a/src/main/java/bramblespool/role/Courier.java
+++ b/src/main/java/bramblespool/role/Courier.java
@@ -4,7 +4,7 @@
 import bramblespool.coordination.Tally;
 import bramblespool.protocol.Names;
 import bramblespool.protocol.Verdict;
-import bramblespool.state.Config;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Stream;
 import bramblespool.transport.Upstream;
@@ -80,12 +80,12 @@
         return new Upstream.Request(p.method, p.target, headers, p.body);
     }
 
-    void serve(Gate gate, Parcel p, Config.Route route, int rank, Taker taker) {
+    void serve(Gate gate, Parcel p, RoutingConfiguration.Route route, int rank, Taker taker) {
         Run run = new Run(gate, p, taker);
         run.ticket = gate.offer(
                 route.name(),
                 rank,
-                route.goal(),
+                route.latencyTargetMs(),
                 p.deadline,
                 run::go,
                 r -> taker.take(Result.neverRan(r.why(), r.retryMs(), false), null));
