--- a/src/main/java/bramblespool/role/Helm.java
+++ b/src/main/java/bramblespool/role/Helm.java
@@ -3,13 +3,13 @@
 import bramblespool.coordination.HelmCore;
 import bramblespool.protocol.Beat;
 import bramblespool.protocol.Orders;
-import bramblespool.state.Config;
-import bramblespool.state.Ledger;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
-import bramblespool.state.Packed;
+import bramblespool.state.CompressedDocument;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
-import bramblespool.state.SqliteVault;
+import bramblespool.state.SqliteDurableStore;
 import bramblespool.transport.HttpPlatform;
 import bramblespool.transport.HttpWire;
 import bramblespool.transport.Loop;
@@ -34,29 +34,30 @@
     private final Loop loop;
     private final HelmCore core;
     private final Ports ports;
-    private final SqliteVault vault;
+    private final SqliteDurableStore vault;
     private final long retryMs;
     private final java.util.Set<String> zones;
     private int held;
 
-    public Helm(Settings s, Loop loop, Log log) throws IOException {
+    public Helm(Settings s, Loop loop, EventLog log) throws IOException {
         this.loop = loop;
-        this.retryMs = s.bounds().quiet() / 15;
+        this.retryMs = s.bounds().quietPeriodMs() / 15;
         this.zones = s.zones().keySet();
         ports = new Ports(loop, log);
         Upstream upstream = new Upstream(loop, ports.buffers());
         HttpWire wire = new HttpWire(loop, upstream, ports.buffers(), IDLE_MS / 2, log);
-        vault = new SqliteVault(s.dataDir(), loop::post, loop::now, log, Helm::end);
-        HttpPlatform platform = s.discovery() == Settings.Discovery.PLATFORM || s.metering() != null
-                ? new HttpPlatform(loop, upstream, s.platform(), s.bounds().drain() / 8)
+        vault = new SqliteDurableStore(s.dataDirectory(), loop::post, loop::now, log, Helm::end);
+        HttpPlatform platform = s.discovery() == Settings.Discovery.PLATFORM || s.usageReporting() != null
+                ? new HttpPlatform(
+                        loop, upstream, s.platformAddress(), s.bounds().drainMs() / 8)
                 : null;
         core = new HelmCore(s, vault, Long.toHexString(new SecureRandom().nextLong()), loop, wire, platform, log);
         wire.serve(core);
         var bounds = Ports.bounds(64 << 10, HttpWire.LARGEST, IDLE_MS, IDLE_MS);
-        ports.listen(s.peer(), wire, bounds);
-        ports.listen(s.control(), this::control, bounds);
+        ports.listen(s.peerAddress(), wire, bounds);
+        ports.listen(s.controlAddress(), this::control, bounds);
         core.start();
-        log.say(Event.READY, "member", core.raft.self());
+        log.log(Event.READY, "member", core.raft.localId());
     }
 
     /** With a damaged store this helm is of no use until it starts anew, as a new member. */
@@ -80,8 +81,8 @@
             Exchanges.json(x, 404, error("no such call"));
         } else if (read ? !get : !post) {
             Exchanges.json(x, 405, error("wrong method"));
-        } else if (!core.raft.leads()) {
-            String leader = core.raft.leaderControl();
+        } else if (!core.raft.isLeader()) {
+            String leader = core.raft.leaderControlAddress();
             if (leader == null) {
                 refuse(x, "no leader is known");
             } else {
@@ -113,7 +114,7 @@
             core.read(v -> {
                 if (v == null) {
                     refuse(x, "no quorum");
-                } else if (v.packed() == null) {
+                } else if (v.compressedDocument() == null) {
                     Exchanges.json(x, 404, error("there is no configuration yet"));
                 } else {
                     readBack(x, v);
@@ -138,10 +139,10 @@
         }
     }
 
-    private void readBack(HttpServerExchange x, Ledger.Version v) {
+    private void readBack(HttpServerExchange x, ReplicatedState.Version v) {
         try {
-            Exchanges.json(x, 200, Packed.unpack(v.packed()));
-        } catch (Config.Invalid e) {
+            Exchanges.json(x, 200, CompressedDocument.decompress(v.compressedDocument()));
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -150,7 +151,7 @@
         Orders.Change change;
         try {
             change = Orders.change(amends, body);
-        } catch (Config.Invalid e) {
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             Exchanges.json(x, 400, error(e.getMessage()));
             return;
         }
--- a/src/main/java/bramblespool/role/Inbound.java
+++ b/src/main/java/bramblespool/role/Inbound.java
@@ -5,7 +5,7 @@
 import bramblespool.coordination.Shadow;
 import bramblespool.protocol.Names;
 import bramblespool.protocol.Verdict;
-import bramblespool.state.Config;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Stream;
 import io.undertow.connector.ByteBufferPool;
@@ -50,7 +50,7 @@
     }
 
     /** The route under which the request may be handed to a server of the service, and its gate; or why not. */
-    record Way(Config.Route route, int rank, Gate gate, String why) {
+    record Way(RoutingConfiguration.Route route, int rank, Gate gate, String why) {
         private static Way no(String why) {
             return new Way(null, 0, null, why);
         }
@@ -66,12 +66,12 @@
             if (choice.test()) {
                 return no("test");
             }
-            Config.Route route = choice.config().route(headers.getFirst(Headers.HOST), path);
-            if (route == null || !route.leadsTo(target)) {
+            RoutingConfiguration.Route route = choice.config().route(headers.getFirst(Headers.HOST), path);
+            if (route == null || !route.routesTo(target)) {
                 return no("route");
             }
             Gate gate = gates.pick(target);
-            int rank = choice.config().rank(route, headers.getFirst(Names.TENANT));
+            int rank = choice.config().priority(route, headers.getFirst(Names.TENANT));
             return gate == null ? no("none") : new Way(route, rank, gate, null);
         }
     }
--- a/src/main/java/bramblespool/role/Outbound.java
+++ b/src/main/java/bramblespool/role/Outbound.java
@@ -10,9 +10,9 @@
 import bramblespool.coordination.WeftCore;
 import bramblespool.protocol.Names;
 import bramblespool.protocol.Verdict;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Stream;
 import bramblespool.transport.Upstream;
@@ -57,7 +57,7 @@
 
     private final Upstream.Manner manner;
     private final Doubts doubts;
-    private final Log log;
+    private final EventLog log;
     private boolean stopping;
     private int held;
 
@@ -78,7 +78,7 @@
             String target,
             Upstream.Manner manner,
             Doubts doubts,
-            Log log) {
+            EventLog log) {
         this.clock = clock;
         this.shadow = core.shadow;
         this.fleet = core.fleet;
@@ -122,7 +122,7 @@
         }
         String unsound = Exchanges.unsound(x);
         if (unsound != null) {
-            log.say(Event.BAD_REQUEST, "why", unsound);
+            log.log(Event.BAD_REQUEST, "cause", unsound);
             Exchanges.sayAndClose(x, 400, unsound);
             return;
         }
@@ -131,7 +131,7 @@
             Exchanges.sayAndClose(x, 400, "bad " + Names.DEADLINE);
             return;
         }
-        Config config = shadow.real();
+        RoutingConfiguration config = shadow.real();
         if (config == null) {
             Exchanges.comeBack(x, manner.connectMs(), "no configuration yet");
             return;
@@ -140,16 +140,17 @@
             Exchanges.sayAndClose(x, 413, "body too large");
             return;
         }
-        Config.Route route = config.route(x.getRequestHeaders().getFirst(Headers.HOST), Exchanges.path(x));
+        RoutingConfiguration.Route route =
+                config.route(x.getRequestHeaders().getFirst(Headers.HOST), Exchanges.path(x));
         if (route == null) {
             Exchanges.say(x, 404, "no route");
             return;
         }
-        Config.Tenant tenant = null;
-        if (config.asksForKeys()) {
+        RoutingConfiguration.Tenant tenant = null;
+        if (config.requiresTenantKey()) {
             String key = Exchanges.clientKey(x);
-            tenant = key == null ? null : config.holder(key);
-            if (tenant == null && (key != null || !route.open())) {
+            tenant = key == null ? null : config.tenantOfKey(key);
+            if (tenant == null && (key != null || !route.isPublic())) {
                 x.getResponseHeaders().put(Headers.WWW_AUTHENTICATE, "Token");
                 Exchanges.say(x, 401, key == null ? "a key is wanted" : "unknown key");
                 return;
@@ -161,15 +162,16 @@
                 x.getRequestHeaders().put(Names.TENANT, tenant.name());
             }
         }
-        if (route.keyed()) {
+        if (route.isKeyed()) {
             String wrong = wrongKey(x);
             if (wrong != null) {
                 Exchanges.say(x, 400, wrong);
                 return;
             }
         }
-        long patience =
-                route.deadline() > 0 && left > 0 ? Math.min(route.deadline(), left) : Math.max(route.deadline(), left);
+        long patience = route.deadlineMs() > 0 && left > 0
+                ? Math.min(route.deadlineMs(), left)
+                : Math.max(route.deadlineMs(), left);
         if (patience <= 0) {
             patience = manner.connectMs() * 10;
         }
@@ -195,16 +197,16 @@
                 : null;
     }
 
-    private String pick(Config.Route route) {
+    private String pick(RoutingConfiguration.Route route) {
         double sum = 0;
-        for (Config.Share s : route.shares()) {
-            sum += s.share();
+        for (RoutingConfiguration.WeightedTarget s : route.weightedTargets()) {
+            sum += s.weight();
         }
         double at = clock.chance() * sum;
-        for (Config.Share s : route.shares()) {
-            at -= s.share();
-            if (at < 0 && s.share() > 0) {
-                return s.target();
+        for (RoutingConfiguration.WeightedTarget s : route.weightedTargets()) {
+            at -= s.weight();
+            if (at < 0 && s.weight() > 0) {
+                return s.service();
             }
         }
         return null;
@@ -213,9 +215,9 @@
     /** One request on its way. */
     private final class Passage implements Entry.Taker {
         private final HttpServerExchange x;
-        private final Config config;
-        private final Config.Route route;
-        private final Config.Tenant tenant;
+        private final RoutingConfiguration config;
+        private final RoutingConfiguration.Route route;
+        private final RoutingConfiguration.Tenant tenant;
         private final String service;
         private final long deadline;
         private final String mark = shadow.mark();
@@ -232,9 +234,9 @@
 
         Passage(
                 HttpServerExchange x,
-                Config config,
-                Config.Route route,
-                Config.Tenant tenant,
+                RoutingConfiguration config,
+                RoutingConfiguration.Route route,
+                RoutingConfiguration.Tenant tenant,
                 String service,
                 long deadline) {
             this.x = x;
@@ -257,13 +259,17 @@
             end = clock.after(Math.max(1, deadline - clock.now()), this::tooLate);
             long left = deadline - clock.now();
             entry.enter(
-                    who(body), Math.max(1, Math.min(route.goal() > 0 ? route.goal() : left, left) / ADMIT_PART), this);
+                    who(body),
+                    Math.max(
+                            1,
+                            Math.min(route.latencyTargetMs() > 0 ? route.latencyTargetMs() : left, left) / ADMIT_PART),
+                    this);
         }
 
         private Entry.Who who(Stream.Body body) {
-            Config.Tenant limited = tenant != null && tenant.ratePerS() > 0 ? tenant : null;
+            RoutingConfiguration.Tenant limited = tenant != null && tenant.ratePerSecond() > 0 ? tenant : null;
             String name = tenant == null ? "" : tenant.name();
-            if (!route.keyed()) {
+            if (!route.isKeyed()) {
                 return new Entry.Who(name, limited, config.epoch, null, 0);
             }
             // Without a tenant a key is one among those of the service that calls.
@@ -329,8 +335,8 @@
 
         /** Whether the service keeps its own record of keys, so that a run that broke off may be asked for again. */
         private boolean dedups() {
-            Config.Service s = config.services.get(service);
-            return s != null && s.dedups();
+            RoutingConfiguration.Service s = config.services.get(service);
+            return s != null && s.deduplicatesItself();
         }
 
         private void tooLate() {
@@ -369,7 +375,7 @@
                 arrivals++;
             }
             if (r.verdict() == Verdict.ANSWERED
-                    && !route.idempotent()
+                    && !route.isIdempotent()
                     && PROMISES.contains(r.answer().code())) {
                 // The server did not say that it has not run, and passed on its status would.
                 if (ending != null) {
@@ -391,20 +397,20 @@
             if ("mark".equals(r.why()) || "route".equals(r.why())) {
                 doubts.behind();
             }
-            log.say(
-                    Event.FAILED_CALL,
+            log.log(
+                    Event.ATTEMPT_FAILED,
                     "route",
                     route.name(),
-                    "to",
+                    "endpoint",
                     send.door.at.node,
-                    "verdict",
+                    "outcome",
                     r.verdict(),
-                    "why",
+                    "cause",
                     r.why());
             boolean again = parcel.body().whole()
-                    && (r.verdict() == Verdict.NEVER_RAN || route.idempotent())
+                    && (r.verdict() == Verdict.NEVER_RAN || route.isIdempotent())
                     && deadline - clock.now() > LEAST_MS
-                    && (!r.arrived() || arrivals < route.maxTries() && budget.draw(service, clock.now()));
+                    && (!r.arrived() || arrivals < route.maxAttempts() && budget.draw(service, clock.now()));
             if (again) {
                 next();
                 return;
@@ -479,9 +485,9 @@
 
             /** Whether a request that may be running at a silent peer is better sent to another as well. */
             private boolean mayRepeat() {
-                return route.idempotent()
+                return route.isIdempotent()
                         && parcel.body().whole()
-                        && arrivals + 1 < route.maxTries()
+                        && arrivals + 1 < route.maxAttempts()
                         && shown.size() < GATES
                         && budget.holds(service, clock.now())
                         && deadline - clock.now() > LEAST_MS;
--- a/src/main/java/bramblespool/role/Side.java
+++ b/src/main/java/bramblespool/role/Side.java
@@ -2,9 +2,9 @@
 
 import bramblespool.coordination.Fleet;
 import bramblespool.coordination.WeftCore;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.HttpWire;
 import bramblespool.transport.Loop;
@@ -30,7 +30,7 @@
     private static final int SILENT = 8;
 
     final Loop loop;
-    final Log log;
+    final EventLog log;
     final Settings settings;
     final WeftCore core;
     final Ports ports;
@@ -38,22 +38,22 @@
     private final Outbound outbound;
     private final HttpOpenListener clients;
     private final Resting<ServerConnection> resting;
-    private Config.Limits limits = Config.Limits.UNSET;
+    private RoutingConfiguration.Limits limits = RoutingConfiguration.Limits.DEFAULT;
     private boolean said;
 
     /** {@code target}: the service of this machine's server, or null where there is none. */
-    Side(Settings s, String target, Loop loop, Log log) throws IOException {
+    Side(Settings s, String target, Loop loop, EventLog log) throws IOException {
         this.loop = loop;
         this.log = log;
         this.settings = s;
         Settings.Bounds b = s.bounds();
-        long connectMs = b.quiet() / 12;
+        long connectMs = b.quietPeriodMs() / 12;
         ports = new Ports(loop, log);
         upstream = new Upstream(loop, ports.buffers());
         HttpWire wire = new HttpWire(loop, upstream, ports.buffers(), PEER_IDLE_MS / 2, log);
         core = new WeftCore(s, loop, wire, log);
         wire.serve(core);
-        Courier courier = new Courier(loop, upstream, core.tally, connectMs, b.quiet());
+        Courier courier = new Courier(loop, upstream, core.tally, connectMs, b.quietPeriodMs());
         outbound = new Outbound(
                 loop,
                 core,
@@ -77,18 +77,18 @@
                 log);
         Inbound inbound =
                 new Inbound(loop, core.shadow, core.gates, courier, ports.buffers(), target, core::marked, core::gone);
-        ports.listen(s.peer(), wire, peerBounds());
-        ports.listen(s.inbound(), inbound, Ports.bounds(CLIENT_HEADER, -1, PEER_IDLE_MS, PEER_IDLE_MS));
-        ports.listen(s.ready(), this::readiness, peerBounds());
-        resting = new Resting<>(loop, limits.idle());
-        clients = ports.listen(s.outbound(), this::client, clientBounds());
+        ports.listen(s.peerAddress(), wire, peerBounds());
+        ports.listen(s.inboundAddress(), inbound, Ports.bounds(CLIENT_HEADER, -1, PEER_IDLE_MS, PEER_IDLE_MS));
+        ports.listen(s.readinessAddress(), this::readiness, peerBounds());
+        resting = new Resting<>(loop, limits.idleTimeoutMs());
+        clients = ports.listen(s.outboundAddress(), this::client, clientBounds());
     }
 
     /** To be called once all listening is done. */
     final void begin() {
         core.start();
-        loop.every(settings.bounds().quiet() / 30, this::watch);
-        loop.every(settings.bounds().quiet() / 10, resting::sweep);
+        loop.every(settings.bounds().quietPeriodMs() / 30, this::watch);
+        loop.every(settings.bounds().quietPeriodMs() / 10, resting::sweep);
     }
 
     static OptionMap peerBounds() {
@@ -96,8 +96,8 @@
     }
 
     private OptionMap clientBounds() {
-        return Ports.bounds(limits.headerBytes(), limits.bodyBytes(), (int) limits.headerRead(), (int)
-                Math.min(Integer.MAX_VALUE, limits.idle() * SILENT));
+        return Ports.bounds(limits.headerBytes(), limits.bodyBytes(), (int) limits.headerReadTimeoutMs(), (int)
+                Math.min(Integer.MAX_VALUE, limits.idleTimeoutMs() * SILENT));
     }
 
     /**
@@ -105,10 +105,10 @@
      * whenever the connection came.
      */
     private void client(HttpServerExchange x) throws Exception {
-        Config config = core.shadow.real();
+        RoutingConfiguration config = core.shadow.real();
         if (config != null) {
             x.setMaxEntitySize(config.limits.bodyBytes());
-            resting.bound(config.limits.idle());
+            resting.bound(config.limits.idleTimeoutMs());
         }
         // Should its body break off, this is what the exchange ends with; every other end says its own.
         x.setStatusCode(StatusCodes.BAD_REQUEST);
@@ -133,23 +133,23 @@
      * that come from now on.
      */
     private void watch() {
-        Config c = core.shadow.real();
+        RoutingConfiguration c = core.shadow.real();
         if (c != null && !c.limits.equals(limits)) {
             limits = c.limits;
             clients.setUndertowOptions(clientBounds());
-            resting.bound(limits.idle());
+            resting.bound(limits.idleTimeoutMs());
         }
         if (c != null) {
             configured(c);
         }
         if (core.ready() && !said) {
             said = true;
-            log.say(Event.READY, "epoch", c.epoch);
+            log.log(Event.READY, "epoch", c.epoch);
         }
     }
 
     /** Called now and then with the version in force. */
-    void configured(Config c) {}
+    void configured(RoutingConfiguration c) {}
 
     private void readiness(HttpServerExchange x) {
         if (!x.getRequestURI().equals(READY)) {
--- a/src/main/java/bramblespool/role/Weft.java
+++ b/src/main/java/bramblespool/role/Weft.java
@@ -2,9 +2,9 @@
 
 import bramblespool.protocol.Beat;
 import bramblespool.protocol.Names;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
-import bramblespool.state.Log.Event;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Loop;
 import bramblespool.transport.Stream;
@@ -24,35 +24,35 @@
 
     private boolean probed;
 
-    public Weft(Settings s, Loop loop, Log log) throws IOException {
-        super(s, s.target(), loop, log);
-        ports.listen(s.control(), this::control, peerBounds());
+    public Weft(Settings s, Loop loop, EventLog log) throws IOException {
+        super(s, s.serviceName(), loop, log);
+        ports.listen(s.controlAddress(), this::control, peerBounds());
         begin();
     }
 
     @Override
-    void configured(Config c) {
+    void configured(RoutingConfiguration c) {
         if (!probed) {
             probed = true;
-            if (core.gate.id() == null && !settings.bootstrap()) {
+            if (core.gate.id() == null && !settings.isBootstrap()) {
                 probe(c);
             }
         }
     }
 
     /** After a restart the server may have been running all along, and its next beat is some way off: it is asked once. */
-    private void probe(Config c) {
-        Config.Service service = c.services.get(settings.target());
+    private void probe(RoutingConfiguration c) {
+        RoutingConfiguration.Service service = c.services.get(settings.serviceName());
         if (service == null) {
             return;
         }
         HeaderMap headers = new HeaderMap();
-        headers.put(Headers.HOST, settings.appAddr());
-        long patience = settings.bounds().quiet() / 6;
+        headers.put(Headers.HOST, settings.applicationAddress());
+        long patience = settings.bounds().quietPeriodMs() / 6;
         Upstream.Call[] call = new Upstream.Call[1];
         var timer = loop.after(patience, () -> call[0].drop());
         call[0] = upstream.send(
-                settings.appAddr(),
+                settings.applicationAddress(),
                 new Upstream.Manner(patience, patience, BEAT_BYTES),
                 new Upstream.Request(Methods.GET, service.probePath(), headers, Stream.Body.EMPTY),
                 new Upstream.Receiver() {
@@ -63,7 +63,7 @@
                         if (a.code() == 200 && id != null) {
                             core.gate.probed(
                                     id,
-                                    core.fleet.capacityOf(settings.target(), FIRST_SLOTS),
+                                    core.fleet.capacityOf(settings.serviceName(), FIRST_SLOTS),
                                     Math.max(0, Exchanges.number(a.headers().getFirst(Names.WARMUP))));
                         }
                     }
@@ -106,11 +106,11 @@
         String no;
         try {
             no = core.beat(Beat.read(id, body.head()));
-        } catch (Config.Invalid e) {
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             no = e.getMessage();
         }
         if (no != null) {
-            log.once(Event.BEAT_REFUSED, no, "server", id, "why", no);
+            log.logOnChange(Event.HEARTBEAT_REJECTED, no, "server", id, "cause", no);
         }
         Exchanges.json(
                 x,
--- a/src/main/java/bramblespool/state/Settings.java
+++ b/src/main/java/bramblespool/state/Settings.java
@@ -19,32 +19,32 @@
         String ip,
         String zone,
         String region,
-        int portFirst,
-        int portLast,
-        List<String> seeds,
-        boolean bootstrap,
-        boolean voting,
-        String dataDir,
-        long beat,
-        String appAddr,
-        String target,
+        int firstPort,
+        int lastPort,
+        List<String> seedPeers,
+        boolean isBootstrap,
+        boolean isVoter,
+        String dataDirectory,
+        long heartbeatIntervalMs,
+        String applicationAddress,
+        String serviceName,
         Map<String, String> zones,
-        String inbound,
-        String outbound,
-        String ready,
-        String control,
+        String inboundAddress,
+        String outboundAddress,
+        String readinessAddress,
+        String controlAddress,
         String deployment,
         Discovery discovery,
-        String platform,
-        double platformPerS,
-        long platformLag,
+        String platformAddress,
+        double platformRatePerSecond,
+        long platformLagMs,
         double cpuShare,
         long memoryMb,
-        long maxFds,
+        long maxFileDescriptors,
         long diskMb,
-        int lossMachines,
+        int tolerableMachineLosses,
         Bounds bounds,
-        Metering metering) {
+        UsageReporting usageReporting) {
 
     /** Where the list of servers comes from: the servers' own beats, or the platform. */
     public enum Discovery {
@@ -53,215 +53,217 @@
     }
 
     /** How clients reach the data plane: on its own machines, or through the platform's address. */
-    public enum Entry {
+    public enum ClientEntry {
         STATIC,
         VIRTUAL_IP
     }
 
-    private static final String EDGE = "edge";
-    private static final String SIDECAR = "sidecar";
-    private static final String METERING = "metering";
+    private static final String EDGE_MACHINE = "edge";
+    private static final String SIDECAR_MACHINE = "sidecar";
+    private static final String USAGE_REPORTING_ROLE = "metering";
 
     /** The duty of reporting usage: how many calls a second the platform takes, and the figures of its rules. */
-    public record Metering(double perS, long lease, long window, long late) {}
+    public record UsageReporting(double callsPerSecond, long leaseMs, long reportWindowMs, long usageLateMs) {}
 
     /** The figures of the rules that are in force. */
     public record Bounds(
-            long quiet,
-            long ack,
-            long catchUp,
-            long drain,
-            long grace,
-            long lossSlack,
-            long apply,
-            long revertSlack,
-            long stretch,
+            long quietPeriodMs,
+            long acknowledgementMs,
+            long catchUpMs,
+            long drainMs,
+            long shutdownGraceMs,
+            long lossToleranceMs,
+            long applyMs,
+            long revertToleranceMs,
+            long stretchMs,
             double retryRatio,
-            long retryWindow,
-            double retrySlack,
-            double warmExcess,
-            double warmSlack,
-            long evac,
-            long recover,
-            long keyWindow,
-            long quotaWindow,
-            double quotaExcess,
-            double quotaSlack) {}
+            long retryWindowMs,
+            double retryAllowance,
+            double slowStartExcess,
+            double slowStartAllowance,
+            long evacuationMs,
+            long recoveryMs,
+            long idempotencyKeyWindowMs,
+            long rateLimitWindowMs,
+            double rateLimitExcess,
+            double rateLimitAllowance) {}
 
     /** A settings file that cannot be used: all its faults, each naming its field. */
-    public static final class Unfit extends Exception {
+    public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Unfit(String file, List<String> faults) {
+        public InvalidSettingsException(String file, List<String> faults) {
             super(file + ": " + String.join("; ", faults));
         }
     }
 
     /** Whether this is a machine that outside clients come to. */
-    public boolean edge() {
-        return machineClass.equals(EDGE);
+    public boolean isEdge() {
+        return machineClass.equals(EDGE_MACHINE);
     }
 
     /** The port on which the system's own daemons talk to each other, the same on all machines. */
-    public String peer() {
-        return ip + ":" + portFirst;
+    public String peerAddress() {
+        return ip + ":" + firstPort;
     }
 
     /** The peer address of a machine of which only another address is known. */
-    public String peerOf(String address) {
-        return address.substring(0, address.lastIndexOf(':') + 1) + portFirst;
+    public String peerAddressOf(String address) {
+        return address.substring(0, address.lastIndexOf(':') + 1) + firstPort;
     }
 
-    public static Settings read(Path file) throws Unfit {
+    public static Settings read(Path file) throws InvalidSettingsException {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new Unfit(
+            throw new InvalidSettingsException(
                     file.toString(), List.of("cannot be read (" + e.getClass().getSimpleName() + ")"));
         }
         return parse(text, file.toString());
     }
 
-    public static Settings parse(String toml, String file) throws Unfit {
-        JsonObject tree;
+    public static Settings parse(String toml, String file) throws InvalidSettingsException {
+        JsonObject json;
         try {
-            tree = JsonParser.parseString(new TomlMapper().readTree(toml).toString())
+            json = JsonParser.parseString(new TomlMapper().readTree(toml).toString())
                     .getAsJsonObject();
         } catch (JsonProcessingException e) {
-            throw new Unfit(file, List.of("is no TOML: " + e.getOriginalMessage()));
+            throw new InvalidSettingsException(file, List.of("is no TOML: " + e.getOriginalMessage()));
         }
         List<String> faults = new ArrayList<>();
-        Settings s = build(tree, new Fields(tree, "", faults));
+        Settings settings = build(json, new DocumentReader(json, "", faults));
         if (!faults.isEmpty()) {
-            throw new Unfit(file, faults);
+            throw new InvalidSettingsException(file, faults);
         }
-        return s;
+        return settings;
     }
 
-    private static Settings build(JsonObject tree, Fields f) {
-        int first = 0;
-        int last = 0;
-        if (f.has("portRange")
-                && tree.get("portRange").isJsonArray()
-                && tree.getAsJsonArray("portRange").size() == 2) {
-            first = tree.getAsJsonArray("portRange").get(0).getAsInt();
-            last = tree.getAsJsonArray("portRange").get(1).getAsInt();
+    private static Settings build(JsonObject json, DocumentReader reader) {
+        int firstPort = 0;
+        int lastPort = 0;
+        if (reader.has("portRange")
+                && json.get("portRange").isJsonArray()
+                && json.getAsJsonArray("portRange").size() == 2) {
+            firstPort = json.getAsJsonArray("portRange").get(0).getAsInt();
+            lastPort = json.getAsJsonArray("portRange").get(1).getAsInt();
         }
-        if (first <= 0 || last < first || last > 65535) {
-            f.fault("portRange", "must be two ports, the lower first");
+        if (firstPort <= 0 || lastPort < firstPort || lastPort > 65535) {
+            reader.addFault("portRange", "must be two ports, the lower first");
         }
-        List<String> seeds = f.texts("seedPeers");
-        for (String s : seeds) {
-            if (!Fields.isAddress(s)) {
-                f.fault("seedPeers", "holds '" + s + "', which is no address");
+        List<String> seedPeers = reader.strings("seedPeers");
+        for (String seed : seedPeers) {
+            if (!DocumentReader.isAddress(seed)) {
+                reader.addFault("seedPeers", "holds '" + seed + "', which is no address");
             }
         }
-        String machineClass = f.text("machineClass");
-        boolean side = SIDECAR.equals(machineClass);
-        boolean edge = EDGE.equals(machineClass);
-        Fields listen = f.section("listeners");
-        Fields limits = f.section("limits");
-        Fields b = f.section("bounds");
-        String none = side ? null : "";
-        Discovery discovery = f.choice("discovery", Discovery.STATIC);
-        f.choice("entry", Entry.STATIC);
-        Fields platform = discovery == Discovery.PLATFORM || f.has("platform")
-                ? f.section("platform")
-                : new Fields(new JsonObject(), "platform.", new ArrayList<>());
-        Metering metering = metering(platform, b);
+        String machineClass = reader.string("machineClass");
+        boolean isSidecar = SIDECAR_MACHINE.equals(machineClass);
+        boolean isEdge = EDGE_MACHINE.equals(machineClass);
+        DocumentReader listenersReader = reader.section("listeners");
+        DocumentReader limitsReader = reader.section("limits");
+        DocumentReader boundsReader = reader.section("bounds");
+        String sidecarDefault = isSidecar ? null : "";
+        Discovery discovery = reader.enumValue("discovery", Discovery.STATIC);
+        reader.enumValue("entry", ClientEntry.STATIC);
+        DocumentReader platformReader = discovery == Discovery.PLATFORM || reader.has("platform")
+                ? reader.section("platform")
+                : new DocumentReader(new JsonObject(), "platform.", new ArrayList<>());
+        UsageReporting usageReporting = metering(platformReader, boundsReader);
         // A hem's calls from other hems come to the port after the one for messages.
-        String ip = f.text("ip");
-        if (edge && last <= first) {
-            f.fault("portRange", "must leave two ports on an edge machine");
+        String ip = reader.string("ip");
+        if (isEdge && lastPort <= firstPort) {
+            reader.addFault("portRange", "must leave two ports on an edge machine");
         }
-        String inbound = edge ? ip + ":" + (first + 1) : listen.address("inbound", none);
-        String outbound = edge ? listen.address("front", null) : listen.address("outbound", none);
+        String inboundAddress =
+                isEdge ? ip + ":" + (firstPort + 1) : listenersReader.address("inbound", sidecarDefault);
+        String outboundAddress =
+                isEdge ? listenersReader.address("front", null) : listenersReader.address("outbound", sidecarDefault);
         return new Settings(
-                f.text("node"),
-                f.text("role", ""),
+                reader.string("node"),
+                reader.string("role", ""),
                 machineClass,
                 ip,
-                f.text("zone"),
-                f.text("region", ""),
-                first,
-                last,
-                List.copyOf(seeds),
-                f.flag("bootstrap", false),
-                f.flag("voting", false),
-                f.text("dataDir", side || edge ? "" : null),
-                f.time("beat", "1500ms"),
-                f.address("appAddr", none),
-                f.text("target", none),
-                f.table("zones"),
-                inbound,
-                outbound,
-                listen.address("ready", side || edge ? null : ""),
-                listen.address("control", edge ? "" : null),
-                f.text("deployment", "mesh"),
+                reader.string("zone"),
+                reader.string("region", ""),
+                firstPort,
+                lastPort,
+                List.copyOf(seedPeers),
+                reader.booleanValue("bootstrap", false),
+                reader.booleanValue("voting", false),
+                reader.string("dataDir", isSidecar || isEdge ? "" : null),
+                reader.durationMs("beat", "1500ms"),
+                reader.address("appAddr", sidecarDefault),
+                reader.string("target", sidecarDefault),
+                reader.stringMap("zones"),
+                inboundAddress,
+                outboundAddress,
+                listenersReader.address("ready", isSidecar || isEdge ? null : ""),
+                listenersReader.address("control", isEdge ? "" : null),
+                reader.string("deployment", "mesh"),
                 discovery,
-                platform.address("address", null),
-                platform.number("ratePerS", 0.0),
-                platform.time("lag", "0ms"),
-                limits.number("cpuShare", 1.0),
-                limits.whole("memoryMb", 0L),
-                limits.whole("maxFds", 0L),
-                limits.whole("diskMb", 0L),
-                f.has("faultBudget") ? (int) f.section("faultBudget").whole("machines", 1L) : 1,
-                bounds(b),
-                metering);
+                platformReader.address("address", null),
+                platformReader.number("ratePerS", 0.0),
+                platformReader.durationMs("lag", "0ms"),
+                limitsReader.number("cpuShare", 1.0),
+                limitsReader.wholeNumber("memoryMb", 0L),
+                limitsReader.wholeNumber("maxFds", 0L),
+                limitsReader.wholeNumber("diskMb", 0L),
+                reader.has("faultBudget") ? (int) reader.section("faultBudget").wholeNumber("machines", 1L) : 1,
+                bounds(boundsReader),
+                usageReporting);
     }
 
-    private static Bounds bounds(Fields b) {
+    private static Bounds bounds(DocumentReader reader) {
         return new Bounds(
-                atLeast(b, "quiet", 100),
-                atLeast(b, "ack", 100),
-                b.time("catchUp", "4s"),
-                atLeast(b, "drain", 50),
-                atLeast(b, "grace", 100),
-                b.time("lossSlack", "200ms"),
-                atLeast(b, "apply", 100),
-                b.time("revertSlack", "250ms"),
-                b.time("stretch", "8000ms"),
-                b.number("retryRatio", 0.0),
-                atLeast(b, "retryWindow", 100),
-                b.number("retrySlack", 0.0),
-                b.number("warmExcess", 1.0),
-                b.number("warmSlack", 0.0),
-                b.has("evac") ? atLeast(b, "evac", 100) : 0,
-                b.time("recover", "15s"),
-                b.has("keyWindow") ? atLeast(b, "keyWindow", 1000) : 60_000,
-                b.has("quotaWindow") ? atLeast(b, "quotaWindow", 100) : 5000,
-                share(b, "quotaExcess"),
-                share(b, "quotaSlack"));
+                atLeast(reader, "quiet", 100),
+                atLeast(reader, "ack", 100),
+                reader.durationMs("catchUp", "4s"),
+                atLeast(reader, "drain", 50),
+                atLeast(reader, "grace", 100),
+                reader.durationMs("lossSlack", "200ms"),
+                atLeast(reader, "apply", 100),
+                reader.durationMs("revertSlack", "250ms"),
+                reader.durationMs("stretch", "8000ms"),
+                reader.number("retryRatio", 0.0),
+                atLeast(reader, "retryWindow", 100),
+                reader.number("retrySlack", 0.0),
+                reader.number("warmExcess", 1.0),
+                reader.number("warmSlack", 0.0),
+                reader.has("evac") ? atLeast(reader, "evac", 100) : 0,
+                reader.durationMs("recover", "15s"),
+                reader.has("keyWindow") ? atLeast(reader, "keyWindow", 1000) : 60_000,
+                reader.has("quotaWindow") ? atLeast(reader, "quotaWindow", 100) : 5000,
+                nonNegative(reader, "quotaExcess"),
+                nonNegative(reader, "quotaSlack"));
     }
 
     /** Null where the platform names no such duty; others it names are not this program's. Half of what it needs is a fault. */
-    private static Metering metering(Fields platform, Fields b) {
-        List<String> duties = platform.texts("duties");
-        if (!duties.contains(METERING)) {
+    private static UsageReporting metering(DocumentReader platformReader, DocumentReader boundsReader) {
+        List<String> singletonRoles = platformReader.strings("duties");
+        if (!singletonRoles.contains(USAGE_REPORTING_ROLE)) {
             return null;
         }
-        return new Metering(
-                platform.number("dutyPerS", 1.0),
-                b.has("lease") ? atLeast(b, "lease", 100) : 0,
-                atLeast(b, "reportWindow", 100),
-                atLeast(b, "usageLate", 100));
+        return new UsageReporting(
+                platformReader.number("dutyPerS", 1.0),
+                boundsReader.has("lease") ? atLeast(boundsReader, "lease", 100) : 0,
+                atLeast(boundsReader, "reportWindow", 100),
+                atLeast(boundsReader, "usageLate", 100));
     }
 
-    private static double share(Fields b, String field) {
-        double d = b.number(field, 0.0);
-        if (d < 0) {
-            b.fault(field, "must not be below 0");
+    private static double nonNegative(DocumentReader reader, String field) {
+        double value = reader.number(field, 0.0);
+        if (value < 0) {
+            reader.addFault(field, "must not be below 0");
         }
-        return d;
+        return value;
     }
 
-    private static long atLeast(Fields b, String field, long least) {
-        long ms = b.time(field, null);
-        if (b.has(field) && ms < least) {
-            b.fault(field, "must be at least " + least + "ms");
+    private static long atLeast(DocumentReader reader, String field, long minimumMs) {
+        long valueMs = reader.durationMs(field, null);
+        if (reader.has(field) && valueMs < minimumMs) {
+            reader.addFault(field, "must be at least " + minimumMs + "ms");
         }
-        return ms;
+        return valueMs;
     }
 }
--- a/src/main/java/bramblespool/state/Folder.java
+++ b/src/main/java/bramblespool/state/SyncedDirectory.java
@@ -9,33 +9,33 @@
 import java.util.List;
 
 /** A folder on a disk: what a file holds lasts from its own sync on, names made, moved or removed from the folder's. */
-class Folder {
+class SyncedDirectory {
     final Path path;
 
-    Folder(Path path) {
+    SyncedDirectory(Path path) {
         this.path = path;
     }
 
     List<String> names() throws IOException {
-        String[] all = path.toFile().list();
-        if (all == null) {
+        String[] entries = path.toFile().list();
+        if (entries == null) {
             throw new IOException("cannot be listed: " + path);
         }
-        return List.of(all);
+        return List.of(entries);
     }
 
     /** By the list of names: a folder that cannot be read is not an empty one. */
-    boolean has(String name) throws IOException {
+    boolean contains(String name) throws IOException {
         return names().contains(name);
     }
 
     /** Bytes in the file, 0 where there is none. */
     long size(String name) throws IOException {
-        return has(name) ? Files.size(path.resolve(name)) : 0;
+        return contains(name) ? Files.size(path.resolve(name)) : 0;
     }
 
     /** Makes an empty file if there is none. */
-    void make(String name) throws IOException {
+    void createIfAbsent(String name) throws IOException {
         FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE)
                 .close();
     }
@@ -57,8 +57,8 @@
 
     /** Syncs the names. */
     void sync() throws IOException {
-        try (FileChannel folder = FileChannel.open(path, StandardOpenOption.READ)) {
-            folder.force(true);
+        try (FileChannel directory = FileChannel.open(path, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 }
--- a/src/main/java/bramblespool/transport/HttpWire.java
+++ b/src/main/java/bramblespool/transport/HttpWire.java
@@ -1,6 +1,6 @@
 package bramblespool.transport;
 
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -29,12 +29,12 @@
     private final Clock clock;
     private final Upstream upstream;
     private final ByteBufferPool buffers;
-    private final Log log;
+    private final EventLog log;
     private final long idleMs;
     private Service service;
     private long calls;
 
-    public HttpWire(Clock clock, Upstream upstream, ByteBufferPool buffers, long idleMs, Log log) {
+    public HttpWire(Clock clock, Upstream upstream, ByteBufferPool buffers, long idleMs, EventLog log) {
         this.clock = clock;
         this.upstream = upstream;
         this.buffers = buffers;
@@ -112,7 +112,7 @@
             JsonNode n = JSON.readTree(bytes);
             return n != null && n.isObject() ? n : null;
         } catch (IOException e) {
-            log.once(Log.Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unreadable");
+            log.logOnChange(EventLog.Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unreadable");
             return null;
         }
     }
@@ -144,7 +144,7 @@
                             try {
                                 service.serve(kind, node, out -> answer(x, out));
                             } catch (RuntimeException e) {
-                                log.unexpected(e);
+                                log.logUnexpected(e);
                                 answer(x, null);
                             }
                         },
--- a/src/main/java/bramblespool/transport/Loop.java
+++ b/src/main/java/bramblespool/transport/Loop.java
@@ -1,6 +1,6 @@
 package bramblespool.transport;
 
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
 import java.io.IOException;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
@@ -41,9 +41,9 @@
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final SplittableRandom chance = new SplittableRandom();
-    private final Log log;
+    private final EventLog log;
 
-    public Loop(Log log) throws IOException {
+    public Loop(EventLog log) throws IOException {
         this.log = log;
         worker = Xnio.getInstance(Loop.class.getClassLoader())
                 .createWorker(OptionMap.builder()
@@ -98,7 +98,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            log.unexpected(e);
+            log.logUnexpected(e);
         }
     }
 }
--- a/src/main/java/bramblespool/transport/Ports.java
+++ b/src/main/java/bramblespool/transport/Ports.java
@@ -1,6 +1,6 @@
 package bramblespool.transport;
 
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
@@ -26,11 +26,11 @@
     private static final int BACKLOG = 512;
 
     private final Loop loop;
-    private final Log log;
+    private final EventLog log;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, BUFFERS_KEPT, 8);
     private final List<AcceptingChannel<StreamConnection>> open = new ArrayList<>();
 
-    public Ports(Loop loop, Log log) {
+    public Ports(Loop loop, EventLog log) {
         this.loop = loop;
         this.log = log;
     }
@@ -70,7 +70,7 @@
             channel.resumeAccepts();
             open.add(channel);
         } catch (IOException e) {
-            log.say(Log.Event.LISTEN_FAILED, "address", address, "error", e.getMessage());
+            log.log(EventLog.Event.LISTEN_FAILED, "address", address, "error", e.getMessage());
             throw e;
         }
         return http;
--- a/src/test/java/bramblespool/Capacity.java
+++ b/src/test/java/bramblespool/Capacity.java
@@ -6,7 +6,7 @@
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Config;
+import bramblespool.state.RoutingConfiguration;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -147,7 +147,7 @@
                 String tenant = "t" + i % 97;
                 side.admission.ask(
                         tenant,
-                        new Config.Tenant(tenant, -1, 1e6, 1e6),
+                        new RoutingConfiguration.Tenant(tenant, -1, 1e6, 1e6),
                         1,
                         keyed ? side.admission.register(tenant, "k" + i) : null,
                         keyed ? "10.0.0.1:7000 life " + i : null,
@@ -209,7 +209,7 @@
 
     private static void role(SimMesh mesh, Map<String, long[]> before, double s, int sides, String when) {
         Map<String, long[]> after = snapshot(mesh);
-        String leader = bramblespool.raft.Raft.addressOf(mesh.leader().raft.self());
+        String leader = bramblespool.raft.RaftNode.addressOf(mesh.leader().raft.localId());
         double[] helm = new double[2];
         double[] side = new double[2];
         after.forEach((p, v) -> {
--- a/src/test/java/bramblespool/CatchUpTest.java
+++ b/src/test/java/bramblespool/CatchUpTest.java
@@ -9,12 +9,12 @@
 
 import bramblespool.coordination.HelmCore;
 import bramblespool.protocol.Orders;
-import bramblespool.raft.Progress;
-import bramblespool.raft.Raft;
+import bramblespool.raft.MemberProgress;
+import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Ledger;
-import bramblespool.state.Vault;
+import bramblespool.state.DurableStore;
+import bramblespool.state.ReplicatedState;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -69,7 +69,7 @@
         mesh.world.run(4000);
         order(routes);
         mesh.world.run(1000);
-        leader = Raft.addressOf(mesh.leader().raft.leaderId());
+        leader = RaftNode.addressOf(mesh.leader().raft.leaderId());
         List<String> others =
                 mesh.helms.keySet().stream().filter(h -> !h.equals(leader)).toList();
         back = others.get(0);
@@ -112,7 +112,7 @@
         mesh.helms.keySet().forEach(h -> machine(h).linkRate = all ? mbit * MEGABIT : 0);
         machine(back).linkRate = mbit * MEGABIT;
         machine(back).disk.slowMs = with == With.SLOW_DISK ? 700 : 0;
-        long term = mesh.leader().raft.term();
+        long term = mesh.leader().raft.currentTerm();
         long bytes = mesh.world.bytes;
         mesh.startHelm(back, false);
         long terms = 0;
@@ -126,9 +126,9 @@
                 leaderless += 10;
                 continue;
             }
-            terms = l.raft.term() - term;
-            for (Progress p : l.raft.progress()) {
-                snapshots = Math.max(snapshots, p.snapshots());
+            terms = l.raft.currentTerm() - term;
+            for (MemberProgress p : l.raft.memberProgress()) {
+                snapshots = Math.max(snapshots, p.snapshotsSent());
             }
             HelmCore b = mesh.helms.get(back);
             boolean faultOver = t > (with == With.RESTARTED ? 700 : with == With.LEADER_LOST ? 400 : 0);
@@ -233,7 +233,7 @@
         begin(seed, 10);
         mesh.killHelm(back, true);
         changes(40, 10);
-        long term = mesh.leader().raft.term();
+        long term = mesh.leader().raft.currentTerm();
         machine(back).linkRate = 0.04 * MEGABIT;
         mesh.startHelm(back, false);
         mesh.world.run(100);
@@ -245,7 +245,7 @@
             assertNotNull(mesh.leader(), "after " + i * 100 + " ms");
             caught += mesh.helms.get(back).ledger().current().epoch() == epoch ? 1 : 0;
         }
-        assertEquals(term, mesh.leader().raft.term());
+        assertEquals(term, mesh.leader().raft.currentTerm());
         assertTrue(caught > 0, "it catches up");
         long[] beats = mesh.world.kinds.get("heartbeat");
         assertTrue(beats != null && beats[0] > 5, "heartbeats");
@@ -255,10 +255,10 @@
         int most = 0;
         for (long t = 0; t < ms; t += 5) {
             mesh.world.run(5);
-            for (Progress p : mesh.leader() == null
-                    ? List.<Progress>of()
-                    : mesh.leader().raft.progress()) {
-                most = Math.max(most, p.snapshots());
+            for (MemberProgress p : mesh.leader() == null
+                    ? List.<MemberProgress>of()
+                    : mesh.leader().raft.memberProgress()) {
+                most = Math.max(most, p.snapshotsSent());
             }
         }
         return most;
@@ -302,7 +302,7 @@
         assertEquals(0, r.terms, r.toString());
         assertTrue(r.mostSnapshots > 3, r.toString());
         HelmCore l = mesh.leader();
-        long behind = l.raft.applied() - mesh.helms.get(back).raft.applied();
+        long behind = l.raft.lastApplied() - mesh.helms.get(back).raft.lastApplied();
         assertTrue(behind < 128, behind + " entries behind");
         String text = Status.text(leader, status(l), false);
         assertTrue(text.contains("too slow for the changes"), text);
@@ -360,10 +360,10 @@
         int sent = 0;
         for (int i = 0; i < 400 && (size == 0 || sent < size * 0.7); i++) {
             mesh.world.run(10);
-            for (Progress p : mesh.leader().raft.progress()) {
-                if (p.size() > 0) {
-                    size = p.size();
-                    sent = p.sent();
+            for (MemberProgress p : mesh.leader().raft.memberProgress()) {
+                if (p.transferChars() > 0) {
+                    size = p.transferChars();
+                    sent = p.transferredChars();
                 }
             }
         }
@@ -386,8 +386,8 @@
         HelmCore b = mesh.helms.get(back);
         mesh.world.isolate(back, true);
         changes(64, 10);
-        Vault.Snapshot s = machine(leader).disk.load().snapshot();
-        assertTrue(s.index() > b.raft.applied());
+        DurableStore.Snapshot s = machine(leader).disk.load().snapshot();
+        assertTrue(s.index() > b.raft.lastApplied());
         machine(back).disk.slowMs = 500;
         int[] answers = new int[1];
         List<Long> stored = new ArrayList<>();
@@ -396,7 +396,7 @@
                 answers[0] += n.has("stored") ? 0 : 1;
                 stored.add(n.path("stored").asLong(s.index()));
             });
-            assertEquals(s.index(), b.raft.applied(), "in memory at once");
+            assertEquals(s.index(), b.raft.lastApplied(), "in memory at once");
         }
         mesh.world.run(400);
         assertEquals(0, answers[0], "answers before the disk's");
@@ -406,13 +406,13 @@
         assertTrue(stored.stream().allMatch(i -> i < s.index()), stored.toString());
     }
 
-    private ObjectNode part(HelmCore to, Vault.Snapshot s, String data) {
+    private ObjectNode part(HelmCore to, DurableStore.Snapshot s, String data) {
         HelmCore l = mesh.helms.get(leader);
         ObjectNode m = JsonNodeFactory.instance
                 .objectNode()
-                .put("to", to.raft.self())
-                .put("from", l.raft.self())
-                .put("term", l.raft.term())
+                .put("to", to.raft.localId())
+                .put("from", l.raft.localId())
+                .put("term", l.raft.currentTerm())
                 .put("control", "")
                 .put("n", 1)
                 .put("id", "x")
@@ -433,13 +433,13 @@
         HelmCore b = mesh.helms.get(back);
         mesh.world.isolate(back, true);
         changes(64, 10);
-        Vault.Snapshot s = machine(leader).disk.load().snapshot();
-        Vault.Saved before = machine(back).disk.load();
+        DurableStore.Snapshot s = machine(leader).disk.load().snapshot();
+        DurableStore.PersistentState before = machine(back).disk.load();
         machine(back).disk.slowMs = 30;
         b.serve("part", part(b, s, s.data()), n -> {});
         mesh.world.run(seed * 12);
         mesh.killHelm(back, seed % 2 == 0);
-        Vault.Saved after = machine(back).disk.load();
+        DurableStore.PersistentState after = machine(back).disk.load();
         if (after.snapshot() == null) {
             assertEquals(before.entries(), after.entries());
         } else {
@@ -459,7 +459,7 @@
         HelmCore b = mesh.helms.get(back);
         mesh.world.isolate(back, true);
         changes(64, 10);
-        Vault.Snapshot s = machine(leader).disk.load().snapshot();
+        DurableStore.Snapshot s = machine(leader).disk.load().snapshot();
         String state = b.ledger().snapshot().toString();
         ObjectNode[] answer = new ObjectNode[1];
         b.serve("part", part(b, s, damaged(s.data())), n -> answer[0] = n);
@@ -485,18 +485,18 @@
         changes(40, 10);
         mesh.killHelm(back, true);
         SimWorld.Disk disk = machine(back).disk;
-        Vault.Saved was = disk.load();
-        Vault.Snapshot s = was.snapshot();
+        DurableStore.PersistentState was = disk.load();
+        DurableStore.Snapshot s = was.snapshot();
         Field held = SimWorld.Disk.class.getDeclaredField("held");
         held.setAccessible(true);
         held.set(
                 disk,
-                new Vault.Saved(
+                new DurableStore.PersistentState(
                         was.incarnation(),
-                        was.term(),
-                        was.vote(),
-                        was.commit(),
-                        new Vault.Snapshot(s.index(), s.term(), s.voters(), damaged(s.data())),
+                        was.currentTerm(),
+                        was.votedFor(),
+                        was.commitIndex(),
+                        new DurableStore.Snapshot(s.index(), s.term(), s.voters(), damaged(s.data())),
                         was.entries()));
         // Alone with the third it must not lead, and where it would be needed nobody does.
         mesh.killHelm(leader, true);
@@ -518,7 +518,7 @@
     }
 
     private static void mutate(HelmCore h) {
-        h.ledger().evacuations().put("nowhere", new Ledger.Evacuation(true, 1));
+        h.ledger().evacuations().put("nowhere", new ReplicatedState.Evacuation(true, 1));
     }
 
     private static boolean mutated(HelmCore h) {
@@ -533,11 +533,11 @@
         changes(40, 10);
         HelmCore b = mesh.helms.get(back);
         mutate(b);
-        long term = mesh.leader().raft.term();
+        long term = mesh.leader().raft.currentTerm();
         long[] highest = new long[1];
         mesh.world.afterEach = () -> {
-            assertTrue(b.raft.applied() >= highest[0], "applied goes back");
-            highest[0] = b.raft.applied();
+            assertTrue(b.raft.lastApplied() >= highest[0], "applied goes back");
+            highest[0] = b.raft.lastApplied();
         };
         for (int i = 0; i < 80 && mutated(b); i++) {
             order(10);
@@ -547,9 +547,9 @@
         assertTrue(epoch - 41 <= 10, epoch + " is the version by now");
         mesh.world.run(1000);
         assertEquals(mesh.leader().ledger().snapshot(), b.ledger().snapshot());
-        assertEquals(term, mesh.leader().raft.term());
-        for (Progress p : mesh.leader().raft.progress()) {
-            assertFalse(p.differs(), p.toString());
+        assertEquals(term, mesh.leader().raft.currentTerm());
+        for (MemberProgress p : mesh.leader().raft.memberProgress()) {
+            assertFalse(p.hasDivergedState(), p.toString());
         }
     }
 
@@ -565,7 +565,7 @@
         for (int i = 0; i < 2000 && !known[0]; i++) {
             order(10);
             mesh.world.run(2);
-            known[0] = mesh.leader().raft.progress().stream().anyMatch(p -> p.differs());
+            known[0] = mesh.leader().raft.memberProgress().stream().anyMatch(p -> p.hasDivergedState());
         }
         assertTrue(known[0], "the leader knows");
         // So slow that the snapshot is under way when the leader dies, and so quick that what was under way has come by
@@ -575,7 +575,7 @@
         mesh.killHelm(leader, true);
         for (int i = 0; i < 400; i++) {
             mesh.world.run(10);
-            assertFalse(mutated(b) && b.raft.leads(), "leads with a state of its own");
+            assertFalse(mutated(b) && b.raft.isLeader(), "leads with a state of its own");
         }
         machine(back).linkRate = 0;
         mesh.world.run(4000);
@@ -610,33 +610,38 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void theStateIsTheSameBytesHoweverItWasReached(long seed) throws Exception {
         Random r = new Random(seed);
-        Ledger throughout = new Ledger();
-        Ledger restored = new Ledger();
+        ReplicatedState throughout = new ReplicatedState();
+        ReplicatedState restored = new ReplicatedState();
         ObjectMapper json = new ObjectMapper();
         long number = 0;
         for (long index = 1; index < 400; index++) {
             ObjectNode e =
                     switch (r.nextInt(7)) {
                         case 0, 1 ->
-                            Ledger.entry("candidate")
+                            ReplicatedState.entry("candidate")
                                     .put("epoch", number + 1 + r.nextInt(2))
                                     .put("base", throughout.current().epoch())
                                     .put("doc", "d" + index)
                                     .put("digest", "g" + r.nextInt(300));
                         case 2 ->
-                            Ledger.entry("decide")
+                            ReplicatedState.entry("decide")
                                     .put(
                                             "epoch",
                                             throughout.candidate() == null
                                                     ? 0
                                                     : throughout.candidate().epoch());
-                        case 3 -> Ledger.entry("phase").put("epoch", number).put("phase", "MARKED");
+                        case 3 ->
+                            ReplicatedState.entry("phase").put("epoch", number).put("phase", "MARKED");
                         case 4 ->
-                            Ledger.entry("evac").put("zone", "z" + r.nextInt(9)).put("on", r.nextBoolean());
+                            ReplicatedState.entry("evac")
+                                    .put("zone", "z" + r.nextInt(9))
+                                    .put("on", r.nextBoolean());
                         case 5 ->
-                            Ledger.entry("duty").put("key", "k" + r.nextInt(9)).put("holder", "h" + r.nextInt(4));
+                            ReplicatedState.entry("duty")
+                                    .put("key", "k" + r.nextInt(9))
+                                    .put("holder", "h" + r.nextInt(4));
                         default -> {
-                            ObjectNode m = Ledger.entry(r.nextBoolean() ? "members" : "abort")
+                            ObjectNode m = ReplicatedState.entry(r.nextBoolean() ? "members" : "abort")
                                     .put("epoch", number + 1);
                             for (int v = r.nextInt(3); v < 5; v++) {
                                 m.withArray("voters").add("v" + (v * 7 + r.nextInt(3)) % 6);
@@ -648,7 +653,7 @@
             restored.apply(index, e);
             number = throughout.current().epoch();
             if (r.nextInt(20) == 0) {
-                Ledger fresh = new Ledger();
+                ReplicatedState fresh = new ReplicatedState();
                 fresh.restore(json.readTree(restored.snapshot().toString()));
                 restored = fresh;
             }
--- a/src/test/java/bramblespool/ClusterTest.java
+++ b/src/test/java/bramblespool/ClusterTest.java
@@ -9,9 +9,9 @@
 import bramblespool.coordination.HelmCore;
 import bramblespool.coordination.WeftCore;
 import bramblespool.protocol.Orders;
-import bramblespool.raft.Raft;
+import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
-import bramblespool.state.Ledger;
+import bramblespool.state.ReplicatedState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -49,7 +49,7 @@
         mesh.world.run(1000);
         epochs(mesh, 9);
         HelmCore leader = mesh.leader();
-        assertEquals(Ledger.Phase.MARKED, leader.ledger().phase());
+        assertEquals(ReplicatedState.Phase.MARKED, leader.ledger().phase());
         assertTrue(leader.commit.unconfirmed().isEmpty(), "all confirmed");
         for (WeftCore w : mesh.wefts.values()) {
             assertEquals("0", w.shadow.mark(), "marking is back to the bit");
@@ -95,7 +95,7 @@
             Orders.Outcome[] got = new Orders.Outcome[1];
             mesh.order(SimMesh.change(6, 5, "two"), o -> got[0] = o);
             mesh.world.run(cutAt);
-            String led = mesh.leader().raft.self().split("#")[0];
+            String led = mesh.leader().raft.localId().split("#")[0];
             boolean acknowledged = got[0] != null && got[0].status() == 200;
             mesh.killHelm(led, true);
             mesh.world.run(8000);
@@ -105,7 +105,7 @@
                 assertEquals(6, now, "acknowledged, killed after " + cutAt);
             }
             epochs(mesh, now);
-            assertEquals(Ledger.Phase.MARKED, mesh.leader().ledger().phase());
+            assertEquals(ReplicatedState.Phase.MARKED, mesh.leader().ledger().phase());
             assertEquals(200, order(mesh, 9, now, "three").status(), "the group goes on");
         }
     }
@@ -135,11 +135,11 @@
         SimMesh mesh = new SimMesh(5, 3, 3);
         mesh.world.run(4000);
         order(mesh, 5, 0, "one");
-        String led = mesh.leader().raft.self().split("#")[0];
+        String led = mesh.leader().raft.localId().split("#")[0];
         mesh.world.machine(led).disk.full = true;
         mesh.order(SimMesh.change(6, 5, "two"), o -> {});
         mesh.world.run(4000);
-        assertFalse(mesh.helms.get(led).raft.leads(), "a helm that cannot sync gives up the lead");
+        assertFalse(mesh.helms.get(led).raft.isLeader(), "a helm that cannot sync gives up the lead");
         long now = mesh.leader().ledger().current().epoch();
         assertEquals(200, order(mesh, 8, now, "three").status());
         mesh.world.machine(led).disk.full = false;
@@ -177,7 +177,7 @@
         mesh.world.run(500);
         mesh.order(SimMesh.change(7, 5, "lost"), o -> {});
         mesh.world.run(killedAfter);
-        mesh.killHelm(Raft.addressOf(mesh.leader().raft.leaderId()), true);
+        mesh.killHelm(RaftNode.addressOf(mesh.leader().raft.leaderId()), true);
         String away = SimMesh.weftPeer(1);
         mesh.world.isolate(away, true);
         for (int i = 0;
@@ -225,7 +225,7 @@
         order(mesh, 5, 0, "one");
         mesh.world.run(1000);
         String cut = mesh.helms.keySet().stream()
-                .filter(h -> !h.equals(Raft.addressOf(mesh.leader().raft.leaderId())))
+                .filter(h -> !h.equals(RaftNode.addressOf(mesh.leader().raft.leaderId())))
                 .findFirst()
                 .orElseThrow();
         for (String h : mesh.helms.keySet()) {
@@ -302,21 +302,24 @@
         SimMesh mesh = new SimMesh(4, 3, 4);
         mesh.world.run(4000);
         WeftCore weft = mesh.wefts.get(SimMesh.weftPeer(0));
-        Ledger.Duty first = leased(mesh, weft);
-        mesh.killHelm(first.holder(), true);
-        String leader =
-                mesh.leader() == null ? null : Raft.addressOf(mesh.leader().raft.leaderId());
+        ReplicatedState.SingletonRole first = leased(mesh, weft);
+        mesh.killHelm(first.owner(), true);
+        String leader = mesh.leader() == null
+                ? null
+                : RaftNode.addressOf(mesh.leader().raft.leaderId());
         if (leader != null) {
             mesh.killHelm(leader, true);
             mesh.startHelm(leader, false);
         }
         mesh.world.run(8000);
-        Ledger.Duty next = leased(mesh, weft);
-        assertTrue(next.fence() > first.fence() && !next.holder().equals(first.holder()), first + " then " + next);
+        ReplicatedState.SingletonRole next = leased(mesh, weft);
+        assertTrue(
+                next.fencingToken() > first.fencingToken() && !next.owner().equals(first.owner()),
+                first + " then " + next);
     }
 
     /** Lets a weft want tries until it has some, and says who owns the slack. */
-    private static Ledger.Duty leased(SimMesh mesh, WeftCore weft) {
+    private static ReplicatedState.SingletonRole leased(SimMesh mesh, WeftCore weft) {
         boolean got = false;
         for (int i = 0; i < 60 && !got; i++) {
             while (weft.budget.draw("desk", mesh.world.now())) {
@@ -325,7 +328,7 @@
             mesh.world.run(600);
         }
         assertTrue(got, "tries are leased");
-        return mesh.leader().ledger().duties().get("slack/desk");
+        return mesh.leader().ledger().singletonRoles().get("slack/desk");
     }
 
     /** The leader is cut off with one operator, the other operator reaches the rest; both send on top of one version. */
@@ -336,7 +339,7 @@
         SimMesh mesh = new SimMesh(seed, helms, 4, helms / 2, null);
         mesh.world.run(6000);
         assertEquals(200, order(mesh, 5, 0, "one").status());
-        String leader = Raft.addressOf(mesh.leader().raft.leaderId());
+        String leader = RaftNode.addressOf(mesh.leader().raft.leaderId());
         List<Long> confirmed = new ArrayList<>();
         Random r = mesh.world.random;
         mesh.world.run(r.nextInt(400));
@@ -352,7 +355,7 @@
             }
             long mine = i % 2 == 0 ? 7 : 8;
             mesh.helms.forEach((peer, h) -> {
-                if (h.raft.leads() && peer.equals(leader) == (mine == 7)) {
+                if (h.raft.isLeader() && peer.equals(leader) == (mine == 7)) {
                     h.change(SimMesh.change(mine, 5, "p" + mine), o -> {
                         if (o.status() == 200) {
                             confirmed.add(mine);
--- a/src/test/java/bramblespool/FormsTest.java
+++ b/src/test/java/bramblespool/FormsTest.java
@@ -8,9 +8,9 @@
 
 import bramblespool.protocol.Orders;
 import bramblespool.sim.SimMesh;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
-import bramblespool.state.Packed;
+import bramblespool.state.CompressedDocument;
+import bramblespool.state.EventLog;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import com.google.gson.JsonObject;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
@@ -48,19 +48,23 @@
             })
     void anInvalidConfigurationIsToldWhy(String from, String to, String fault) {
         assertTrue(GOOD.contains(from));
-        Config.Invalid e = assertThrows(Config.Invalid.class, () -> Config.compile(GOOD.replace(from, to)));
+        RoutingConfiguration.InvalidConfigurationException e = assertThrows(
+                RoutingConfiguration.InvalidConfigurationException.class,
+                () -> RoutingConfiguration.compile(GOOD.replace(from, to)));
         assertTrue(e.getMessage().contains(fault), e.getMessage());
     }
 
     @Test
     void everyFaultIsNamedAtOnceAndACutDocumentIsRefused() {
-        Config.Invalid e = assertThrows(
-                Config.Invalid.class,
-                () -> Config.compile(GOOD.replace("/p/", "p").replace("null,2,\"desk\"", "null,2,\"nobody\"")));
+        RoutingConfiguration.InvalidConfigurationException e = assertThrows(
+                RoutingConfiguration.InvalidConfigurationException.class,
+                () -> RoutingConfiguration.compile(
+                        GOOD.replace("/p/", "p").replace("null,2,\"desk\"", "null,2,\"nobody\"")));
         assertTrue(e.getMessage().contains("slash") && e.getMessage().contains("nobody"), e.getMessage());
         for (int cut = 1; cut < GOOD.strip().length(); cut += 17) {
             String part = GOOD.substring(0, cut);
-            assertThrows(Config.Invalid.class, () -> Config.compile(part));
+            assertThrows(
+                    RoutingConfiguration.InvalidConfigurationException.class, () -> RoutingConfiguration.compile(part));
         }
     }
 
@@ -82,35 +86,40 @@
             })
     void whatIsNotQuiteJsonIsInvalid(String from, String to) {
         assertTrue(GOOD.contains(from));
-        assertThrows(Config.Invalid.class, () -> Config.compile(GOOD.replace(from, to)));
         assertThrows(
-                Config.Invalid.class,
+                RoutingConfiguration.InvalidConfigurationException.class,
+                () -> RoutingConfiguration.compile(GOOD.replace(from, to)));
+        assertThrows(
+                RoutingConfiguration.InvalidConfigurationException.class,
                 () -> Orders.change(false, GOOD.replace(from, to).getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void aDocumentWithMoreBehindItOrWithBytesThatAreNoTextIsInvalid() throws Config.Invalid {
-        assertThrows(Config.Invalid.class, () -> Config.compile(GOOD + "{}"));
+    void aDocumentWithMoreBehindItOrWithBytesThatAreNoTextIsInvalid()
+            throws RoutingConfiguration.InvalidConfigurationException {
+        assertThrows(
+                RoutingConfiguration.InvalidConfigurationException.class,
+                () -> RoutingConfiguration.compile(GOOD + "{}"));
         byte[] bytes = GOOD.getBytes(StandardCharsets.UTF_8);
         assertEquals(5, Orders.change(false, bytes).tree().get("epoch").getAsLong());
         bytes[GOOD.indexOf("x.example")] = (byte) 0xff;
-        assertThrows(Config.Invalid.class, () -> Orders.change(false, bytes));
+        assertThrows(RoutingConfiguration.InvalidConfigurationException.class, () -> Orders.change(false, bytes));
     }
 
     @Test
     void twoRoutesInOnePlaceAreInvalid() {
         String row = "[\"r\",\"x.example\",\"/p/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]";
         assertTrue(GOOD.contains(row));
-        Config.Invalid e = assertThrows(
-                Config.Invalid.class,
-                () -> Config.compile(GOOD.replace(row, row + "," + row.replace("\"r\"", "\"q\""))));
+        RoutingConfiguration.InvalidConfigurationException e = assertThrows(
+                RoutingConfiguration.InvalidConfigurationException.class,
+                () -> RoutingConfiguration.compile(GOOD.replace(row, row + "," + row.replace("\"r\"", "\"q\""))));
         assertTrue(e.getMessage().contains("same place"), e.getMessage());
     }
 
     @Test
-    void theLongestPrefixOnTheExactPathWins() throws Config.Invalid {
+    void theLongestPrefixOnTheExactPathWins() throws RoutingConfiguration.InvalidConfigurationException {
         String row = "[\"r\",\"x.example\",\"/p/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]";
-        Config c = Config.compile(
+        RoutingConfiguration c = RoutingConfiguration.compile(
                 GOOD.replace(row, row + "," + row.replace("\"r\"", "\"q\"").replace("/p/", "/p/%2f/")));
         assertEquals("q", c.route("X.example:80", "/p/%2f/1").name());
         assertEquals("r", c.route("x.example", "/p/%2F/1").name());
@@ -119,17 +128,21 @@
     }
 
     @Test
-    void anAmendmentKeepsWhatItDoesNotName() throws Config.Invalid {
-        Config c = Config.compile(GOOD.replace("\"limits\"", "\"ours\":{\"x\":1},\"limits\""));
-        JsonObject change = Config.tree("""
+    void anAmendmentKeepsWhatItDoesNotName() throws RoutingConfiguration.InvalidConfigurationException {
+        RoutingConfiguration c =
+                RoutingConfiguration.compile(GOOD.replace("\"limits\"", "\"ours\":{\"x\":1},\"limits\""));
+        JsonObject change = RoutingConfiguration.parseDocument("""
                 {"epoch":7,"baseVersion":5,"upsert":{"routeTable":{"columns":["name","authority","pathPrefix","routeClass",
                 "deadline","goal","rank","target"],"rows":[["n","x.example","/n/","mutating","1s","1s",0,"desk"]]}},
                 "remove":{"routeTable":["r"]}}""");
-        Config next = Config.compile(c.amend(change).toString());
+        RoutingConfiguration next =
+                RoutingConfiguration.compile(c.applyAmendment(change).toString());
         assertEquals(7, next.epoch);
         assertNull(next.route("x.example", "/p/1"));
         assertEquals("n", next.route("x.example", "/n/1").name());
-        assertTrue(Packed.unpack(next.packed).contains("\"ours\":{\"x\":1}"), "unknown fields are kept");
+        assertTrue(
+                CompressedDocument.decompress(next.compressedDocument).contains("\"ours\":{\"x\":1}"),
+                "unknown fields are kept");
         assertNotEquals(c.difference(null), next.difference(c));
         assertTrue(next.difference(c).startsWith("+1 ~0 -1 "));
     }
@@ -149,8 +162,9 @@
     void settingsThatAreNotFitNameFileAndField(String from, String to, String fault) {
         String good = toml();
         assertTrue(good.contains(from), good);
-        Settings.Unfit e = assertThrows(
-                Settings.Unfit.class, () -> Settings.parse(good.replace(from, to == null ? "" : to), "weft.toml"));
+        Settings.InvalidSettingsException e = assertThrows(
+                Settings.InvalidSettingsException.class,
+                () -> Settings.parse(good.replace(from, to == null ? "" : to), "weft.toml"));
         assertTrue(e.getMessage().startsWith("weft.toml: ") && e.getMessage().contains(fault), e.getMessage());
     }
 
@@ -174,21 +188,26 @@
                 .replace("control = \"10.0.1.1:8000\"", "front = \"10.0.1.1:8004\"");
         assertTrue(good.contains(from), good);
         Settings fit = Settings.parse(good, "hem.toml");
-        assertEquals("10.0.1.1:8004", fit.outbound());
-        assertEquals("10.0.1.1:7001", fit.inbound(), "hems call each other on the second port");
-        Settings.Unfit e = assertThrows(
-                Settings.Unfit.class, () -> Settings.parse(good.replace(from, to == null ? "" : to), "hem.toml"));
+        assertEquals("10.0.1.1:8004", fit.outboundAddress());
+        assertEquals("10.0.1.1:7001", fit.inboundAddress(), "hems call each other on the second port");
+        Settings.InvalidSettingsException e = assertThrows(
+                Settings.InvalidSettingsException.class,
+                () -> Settings.parse(good.replace(from, to == null ? "" : to), "hem.toml"));
         assertTrue(e.getMessage().startsWith("hem.toml: ") && e.getMessage().contains(fault), e.getMessage());
     }
 
     @Test
     void aPackedDocumentComesBackAndAGarbledOneIsRefused() throws Exception {
         String document = SimMesh.document(5, 0, "p\u017eilina").repeat(200);
-        String packed = Packed.pack(document);
+        String packed = CompressedDocument.compress(document);
         assertTrue(packed.length() < document.length() / 4);
-        assertEquals(document, Packed.unpack(packed));
-        assertThrows(Config.Invalid.class, () -> Packed.unpack(packed.substring(0, packed.length() / 2)));
-        assertThrows(Config.Invalid.class, () -> Packed.unpack("no such thing!"));
+        assertEquals(document, CompressedDocument.decompress(packed));
+        assertThrows(
+                RoutingConfiguration.InvalidConfigurationException.class,
+                () -> CompressedDocument.decompress(packed.substring(0, packed.length() / 2)));
+        assertThrows(
+                RoutingConfiguration.InvalidConfigurationException.class,
+                () -> CompressedDocument.decompress("no such thing!"));
     }
 
     private static String toml() {
@@ -215,7 +234,7 @@
     @Test
     void theCatalogueHoldsExactlyTheEventsOfTheCode() throws Exception {
         List<String> code = new ArrayList<>();
-        for (Log.Event e : Log.Event.values()) {
+        for (EventLog.Event e : EventLog.Event.values()) {
             code.add("B" + e.number + " " + e.name() + " " + e.level);
         }
         assertEquals(
--- a/src/test/java/bramblespool/GateTest.java
+++ b/src/test/java/bramblespool/GateTest.java
@@ -13,8 +13,8 @@
 import bramblespool.protocol.Beat;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
+import bramblespool.state.RoutingConfiguration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -39,7 +39,7 @@
     void boot() {
         machine.boot();
         gate = new Gate(
-                machine, new Gate.Rules(1500, 833, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> {}, Log.silent());
+                machine, new Gate.Rules(1500, 833, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> {}, EventLog.silent());
         gate.warming(8.5, 6000);
     }
 
@@ -98,10 +98,11 @@
 
     /** A steward's new gate: the version came before it, and its bound on cold servers holds here too. */
     @Test
-    void aGateThatComesAfterTheConfigurationKnowsItsBound() throws Config.Invalid {
+    void aGateThatComesAfterTheConfigurationKnowsItsBound() throws RoutingConfiguration.InvalidConfigurationException {
         Gates gates = new Gates();
-        gates.warming(Config.compile(SimMesh.document(5, 0, "one")));
-        gate = new Gate(machine, new Gate.Rules(0, 0, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> {}, Log.silent());
+        gates.warming(RoutingConfiguration.compile(SimMesh.document(5, 0, "one")));
+        gate = new Gate(
+                machine, new Gate.Rules(0, 0, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> {}, EventLog.silent());
         gates.add(gate);
         gate.listed("i1", 6, false, 6000);
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/bramblespool/GatewayTest.java
+++ b/src/test/java/bramblespool/GatewayTest.java
@@ -11,8 +11,8 @@
 import bramblespool.protocol.Orders;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
-import bramblespool.state.Config;
-import bramblespool.state.Ledger;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Platform;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -61,8 +61,9 @@
     }
 
     private String reader(String zone) {
-        Ledger.Duty d = mesh.leader().ledger().duties().get("list/" + zone);
-        return d.holder();
+        ReplicatedState.SingletonRole d =
+                mesh.leader().ledger().singletonRoles().get("list/" + zone);
+        return d.owner();
     }
 
     private boolean takesWork(String id) {
@@ -185,7 +186,7 @@
         Set<String> lost = new TreeSet<>(List.of(reader("a")));
         if (leaderToo) {
             mesh.helms.forEach((peer, h) -> {
-                if (h.raft.leads()) {
+                if (h.raft.isLeader()) {
                     lost.add(peer);
                 }
             });
@@ -241,7 +242,9 @@
                         : (how.equals("cut") ? page.substring(0, page.length() - 9) : page)
                                 .getBytes(StandardCharsets.UTF_8));
         if (!how.equals("429") && !how.equals("silence") && !how.equals("endless")) {
-            assertThrows(Config.Invalid.class, () -> Listing.read(platform.instead.body()));
+            assertThrows(
+                    RoutingConfiguration.InvalidConfigurationException.class,
+                    () -> Listing.read(platform.instead.body()));
         }
         int before = platform.calls.values().stream().mapToInt(i -> i).sum();
         mesh.world.run(6000);
@@ -273,11 +276,11 @@
     @Test
     void aReaderCutOffLosesItsDutyAndTheNextOneItsFence() {
         String reader = reader("b");
-        long fence = mesh.leader().ledger().duties().get("list/b").fence();
+        long fence = mesh.leader().ledger().singletonRoles().get("list/b").fencingToken();
         mesh.world.isolate(reader, true);
         mesh.world.run(5000);
         assertNotEquals(reader, reader("b"));
-        assertTrue(mesh.leader().ledger().duties().get("list/b").fence() > fence);
+        assertTrue(mesh.leader().ledger().singletonRoles().get("list/b").fencingToken() > fence);
         int calls = platform.calls.getOrDefault(reader, 0);
         mesh.world.run(2000);
         assertEquals(calls, platform.calls.getOrDefault(reader, 0), "cut off, it reads no more");
--- a/src/test/java/bramblespool/HundredsTest.java
+++ b/src/test/java/bramblespool/HundredsTest.java
@@ -8,10 +8,10 @@
 import bramblespool.coordination.HelmCore;
 import bramblespool.coordination.WeftCore;
 import bramblespool.protocol.Orders;
-import bramblespool.raft.Raft;
+import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Ledger;
+import bramblespool.state.ReplicatedState;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -88,7 +88,7 @@
     @Test
     void oneChangeCostsTheLeaderLittleAndEachSideFourMessages() {
         mesh.world.run(8000);
-        String leader = Raft.addressOf(mesh.leader().raft.leaderId());
+        String leader = RaftNode.addressOf(mesh.leader().raft.leaderId());
         long idle = -mesh.world.messages;
         double idleWork = -mesh.world.machine(leader).worked;
         mesh.world.run(1000);
@@ -155,7 +155,7 @@
         Orders.Outcome[] got = new Orders.Outcome[1];
         mesh.order(SimMesh.change(6, 5, "two"), o -> got[0] = o);
         mesh.world.run(killedAfter);
-        mesh.killHelm(Raft.addressOf(mesh.leader().raft.leaderId()), true);
+        mesh.killHelm(RaftNode.addressOf(mesh.leader().raft.leaderId()), true);
         mesh.world.run(5000);
         HelmCore next = mesh.leader();
         assertNotNull(next, "a new leader");
@@ -164,7 +164,7 @@
             assertEquals(6, now, "acknowledged");
         }
         assertEquals(0, behind(now), "one version everywhere");
-        assertEquals(Ledger.Phase.MARKED, next.ledger().phase());
+        assertEquals(ReplicatedState.Phase.MARKED, next.ledger().phase());
         assertEquals(200, order(SimMesh.change(9, now, "three"), 1500).status(), "and changes go on");
     }
 
@@ -173,10 +173,10 @@
     void aHelmThatDoesNotKeepUpShedsComparisonsAndNothingElse() {
         mesh.world.run(8000);
         String slow = mesh.helms.keySet().stream()
-                .filter(h -> !h.equals(Raft.addressOf(mesh.leader().raft.leaderId())))
+                .filter(h -> !h.equals(RaftNode.addressOf(mesh.leader().raft.leaderId())))
                 .findFirst()
                 .orElseThrow();
-        long term = mesh.leader().raft.term();
+        long term = mesh.leader().raft.currentTerm();
         mesh.world.machine(slow).messageMs = 14;
         int lost = 0;
         boolean strained = false;
@@ -195,7 +195,7 @@
         }
         assertTrue(strained, "it says so");
         assertEquals(0, lost, "sessions lost");
-        assertEquals(term, mesh.leader().raft.term(), "no election");
+        assertEquals(term, mesh.leader().raft.currentTerm(), "no election");
         mesh.world.machine(slow).messageMs = 14;
         mesh.world.run(4000);
         assertEquals(200, order(SimMesh.change(5, 0, "one"), 1000).status());
@@ -207,7 +207,7 @@
         mesh.world.run(12_000);
         List<String> voters = mesh.leader().raft.voters();
         assertEquals(5, voters.size(), voters.toString());
-        List<String> lost = voters.stream().map(Raft::addressOf).limit(2).toList();
+        List<String> lost = voters.stream().map(RaftNode::addressOf).limit(2).toList();
         int zone = Integer.parseInt(lost.get(0).replaceAll("10.0.0.(\\d+):.*", "$1")) - 1;
         for (int i = zone; i < SIDES; i += 6) {
             mesh.killWeft(SimMesh.weftPeer(i));
--- a/src/test/java/bramblespool/LimitsTest.java
+++ b/src/test/java/bramblespool/LimitsTest.java
@@ -8,7 +8,7 @@
 import bramblespool.role.Helm;
 import bramblespool.role.Weft;
 import bramblespool.sim.SimMesh;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
 import bramblespool.state.Settings;
 import bramblespool.transport.Loop;
 import java.io.IOException;
@@ -48,14 +48,14 @@
         for (ServerSocket s : held) {
             s.close();
         }
-        Loop loop = new Loop(Log.silent());
+        Loop loop = new Loop(EventLog.silent());
         CountDownLatch up = new CountDownLatch(1);
         Settings helm = settings("core", HELM);
         Settings weft = settings("sidecar", WEFT);
         loop.post(() -> {
             try {
-                new Helm(helm, loop, Log.silent());
-                new Weft(weft, loop, Log.silent());
+                new Helm(helm, loop, EventLog.silent());
+                new Weft(weft, loop, EventLog.silent());
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -65,7 +65,7 @@
         configure(3, 0, IDLE_MS, 1000);
     }
 
-    private Settings settings(String machineClass, String ip) throws Settings.Unfit {
+    private Settings settings(String machineClass, String ip) throws Settings.InvalidSettingsException {
         return Settings.parse(
                 """
                 node = "%1$s-1"
--- a/src/test/java/bramblespool/MajorityTest.java
+++ b/src/test/java/bramblespool/MajorityTest.java
@@ -7,9 +7,9 @@
 
 import bramblespool.coordination.HelmCore;
 import bramblespool.protocol.Orders;
-import bramblespool.raft.Raft;
+import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
-import bramblespool.state.Ledger;
+import bramblespool.state.ReplicatedState;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -40,7 +40,7 @@
     }
 
     private static String leader(SimMesh mesh) {
-        return Raft.addressOf(mesh.leader().raft.self());
+        return RaftNode.addressOf(mesh.leader().raft.localId());
     }
 
     /**
@@ -63,7 +63,7 @@
             Orders.Outcome[] taken = new Orders.Outcome[1];
             for (int i = 0; i < 400 && (taken[0] == null || taken[0].status() != 200); i++) {
                 for (HelmCore h : mesh.helms.values()) {
-                    if (h != cutOff && h.raft.leads()) {
+                    if (h != cutOff && h.raft.isLeader()) {
                         h.change(SimMesh.change(6, 5, "v6"), o -> taken[0] = o);
                     }
                 }
@@ -71,7 +71,7 @@
             }
             assertEquals(200, taken[0].status(), "the others go on, seed " + seed);
             List<Integer> said = new ArrayList<>();
-            if (cutOff.raft.leads()) {
+            if (cutOff.raft.isLeader()) {
                 asked++;
             }
             cutOff.change(SimMesh.change(7, 6, "v7"), o -> said.add(o.status()));
@@ -94,16 +94,16 @@
         SimMesh mesh = mesh(3, 3, 1);
         String old = leader(mesh);
         HelmCore other = mesh.helms.values().stream()
-                .filter(h -> !h.raft.leads())
+                .filter(h -> !h.raft.isLeader())
                 .findFirst()
                 .orElseThrow();
-        assertNotNull(other.raft.leaderControl());
+        assertNotNull(other.raft.leaderControlAddress());
         mesh.helms.keySet().stream()
                 .filter(h -> mesh.helms.get(h) != other)
                 .toList()
                 .forEach(h -> mesh.killHelm(h, true));
         mesh.world.run(2000);
-        assertEquals(null, other.raft.leaderControl(), old + " is no longer known to lead");
+        assertEquals(null, other.raft.leaderControlAddress(), old + " is no longer known to lead");
     }
 
     /** Four helms, three voters: one is lost for good and another one after so long; what is there then agrees on things. */
@@ -133,7 +133,7 @@
     private static boolean bears(long seed, long later, boolean leaderFirst) {
         SimMesh mesh = mesh(seed, 4, 1);
         String first = mesh.leader().raft.voters().stream()
-                .map(Raft::addressOf)
+                .map(RaftNode::addressOf)
                 .filter(v -> v.equals(leader(mesh)) == leaderFirst)
                 .findFirst()
                 .orElseThrow();
@@ -154,7 +154,7 @@
             SimMesh mesh = mesh(seed, helms, losses);
             for (int turn = 0; turn < 4; turn++) {
                 List<String> lost = new ArrayList<>(mesh.leader().raft.voters().stream()
-                        .map(Raft::addressOf)
+                        .map(RaftNode::addressOf)
                         .toList());
                 java.util.Collections.shuffle(lost, mesh.world.random);
                 lost.subList(losses, lost.size()).clear();
@@ -177,7 +177,7 @@
     void whoWasReplacedWhileItWasAwayFollowsAgain(long seed) {
         SimMesh mesh = mesh(seed, 4, 1);
         String away = mesh.leader().raft.voters().stream()
-                .map(Raft::addressOf)
+                .map(RaftNode::addressOf)
                 .filter(v -> !v.equals(leader(mesh)))
                 .findFirst()
                 .orElseThrow();
@@ -186,7 +186,7 @@
         assertEquals(200, order(mesh, 6, 5).status());
         assertFalse(
                 mesh.leader().raft.voters().stream()
-                        .map(Raft::addressOf)
+                        .map(RaftNode::addressOf)
                         .toList()
                         .contains(away),
                 "its place is taken");
@@ -205,25 +205,25 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimMesh mesh = mesh(seed, helms, 1);
             String leaver = mesh.leader().raft.voters().stream()
-                    .map(Raft::addressOf)
+                    .map(RaftNode::addressOf)
                     .filter(v -> v.equals(leader(mesh)) == leads)
                     .findFirst()
                     .orElseThrow();
             HelmCore h = mesh.helms.get(leaver);
-            long term = mesh.leader().raft.term();
+            long term = mesh.leader().raft.currentTerm();
             h.leave();
             for (int i = 0; i < 200 && !h.left(); i++) {
                 mesh.world.run(10);
             }
             assertTrue(h.left(), "it may go, seed " + seed);
-            assertEquals(leads ? term + 1 : term, mesh.leader().raft.term(), "one election at most");
+            assertEquals(leads ? term + 1 : term, mesh.leader().raft.currentTerm(), "one election at most");
             mesh.killHelm(leaver, true);
             mesh.world.machine(leaver).disk.wipe();
             assertEquals(200, order(mesh, 6, 5).status(), "no pause, seed " + seed);
             if (helms == 4) {
                 assertFalse(
                         mesh.leader().raft.voters().stream()
-                                .map(Raft::addressOf)
+                                .map(RaftNode::addressOf)
                                 .toList()
                                 .contains(leaver),
                         "seed " + seed);
@@ -251,7 +251,7 @@
             mesh.world.run(1);
         }
         mesh.world.run(50);
-        assertTrue(mesh.leader().ledger().phase() != Ledger.Phase.MARKED, "phases are still to come");
+        assertTrue(mesh.leader().ledger().phase() != ReplicatedState.Phase.MARKED, "phases are still to come");
         assertEquals(
                 List.of(200, 200, 412, 412, 412, 412, 412, 412, 412),
                 said.stream().sorted().toList());
@@ -271,7 +271,7 @@
         }
         mesh.world.run(200);
         assertEquals(List.of(true, true, true, true, true), said);
-        assertTrue(mesh.leader().ledger().evacuations().get("a").on());
+        assertTrue(mesh.leader().ledger().evacuations().get("a").isEvacuated());
     }
 
     /** However the votes fall, somebody leads soon after a leader's loss. */
--- a/src/test/java/bramblespool/OperationTest.java
+++ b/src/test/java/bramblespool/OperationTest.java
@@ -8,8 +8,8 @@
 import bramblespool.coordination.WeftCore;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
+import bramblespool.state.RoutingConfiguration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -52,7 +52,7 @@
             return;
         }
         SimWorld.Machine m = mesh.world.machine(SimMesh.weftPeer(at));
-        new Entry(w, Log.silent())
+        new Entry(w, EventLog.silent())
                 .enter(
                         new Entry.Who("t", null, 1, w.admission.register("t", key), key.hashCode()),
                         400,
@@ -225,9 +225,9 @@
             return;
         }
         asked++;
-        new Entry(w, Log.silent())
+        new Entry(w, EventLog.silent())
                 .enter(
-                        new Entry.Who(tenant, new Config.Tenant(tenant, -1, rate, BURST), 1, null, 0),
+                        new Entry.Who(tenant, new RoutingConfiguration.Tenant(tenant, -1, rate, BURST), 1, null, 0),
                         300,
                         new Entry.Taker() {
                             @Override
--- a/src/test/java/bramblespool/RegisterTest.java
+++ b/src/test/java/bramblespool/RegisterTest.java
@@ -253,7 +253,7 @@
             long before = mesh.world.messages;
             boolean[] won = new boolean[1];
             h.registers.set(
-                    "5/k" + mesh.helms.size() + h.raft.self(),
+                    "5/k" + mesh.helms.size() + h.raft.localId(),
                     "a",
                     null,
                     400,
--- a/src/test/java/bramblespool/ShadowTest.java
+++ b/src/test/java/bramblespool/ShadowTest.java
@@ -8,8 +8,8 @@
 import bramblespool.coordination.Shadow;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
+import bramblespool.state.RoutingConfiguration;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -18,10 +18,10 @@
     private final SimWorld world = new SimWorld(1);
     private Shadow shadow;
 
-    private static Config config(long epoch) {
+    private static RoutingConfiguration config(long epoch) {
         try {
-            return Config.compile(SimMesh.document(epoch, 0, "p" + epoch));
-        } catch (Config.Invalid e) {
+            return RoutingConfiguration.compile(SimMesh.document(epoch, 0, "p" + epoch));
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -30,7 +30,7 @@
     void current() {
         SimWorld.Machine m = world.machine("10.0.1.1:7000");
         m.boot();
-        shadow = new Shadow(m, 1000, Log.silent());
+        shadow = new Shadow(m, 1000, EventLog.silent());
         shadow.adopt(config(5), true);
     }
 
@@ -91,8 +91,8 @@
 
     /** Two changes of one number: the one kept from an aborted commit is not the one that was decided. */
     @Test
-    void aCandidateOfTheSameNumberIsAnother() throws Config.Invalid {
-        Config other = Config.compile(SimMesh.document(7, 0, "other"));
+    void aCandidateOfTheSameNumberIsAnother() throws RoutingConfiguration.InvalidConfigurationException {
+        RoutingConfiguration other = RoutingConfiguration.compile(SimMesh.document(7, 0, "other"));
         shadow.distribute(5, 7, config(7), 0);
         assertEquals(-1, named(other.tag()));
         assertFalse(shadow.tagPacket(7, other.stamp));
@@ -111,8 +111,8 @@
     }
 
     @Test
-    void theEndOfOneCandidateIsNotAnothers() throws Config.Invalid {
-        Config other = Config.compile(SimMesh.document(7, 0, "other"));
+    void theEndOfOneCandidateIsNotAnothers() throws RoutingConfiguration.InvalidConfigurationException {
+        RoutingConfiguration other = RoutingConfiguration.compile(SimMesh.document(7, 0, "other"));
         shadow.distribute(5, 7, other, 0);
         shadow.revert(7, config(7).stamp);
         shadow.revert(6, config(6).stamp);
@@ -131,8 +131,8 @@
 
     /** In force is one document of a number; another one of it is neither confirmed nor marked. */
     @Test
-    void aRivalOfTheNumberInForceIsNotConfirmed() throws Config.Invalid {
-        Config other = Config.compile(SimMesh.document(5, 0, "other"));
+    void aRivalOfTheNumberInForceIsNotConfirmed() throws RoutingConfiguration.InvalidConfigurationException {
+        RoutingConfiguration other = RoutingConfiguration.compile(SimMesh.document(5, 0, "other"));
         assertEquals("behind", shadow.distribute(4, 5, other, 0));
         assertFalse(shadow.tagPacket(5, other.stamp));
         assertFalse(shadow.swap(5, other.stamp));
--- a/src/test/java/bramblespool/SocketTest.java
+++ b/src/test/java/bramblespool/SocketTest.java
@@ -8,7 +8,7 @@
 import bramblespool.role.Helm;
 import bramblespool.role.Weft;
 import bramblespool.sim.SimMesh;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
 import bramblespool.state.Settings;
 import bramblespool.transport.Loop;
 import java.io.ByteArrayOutputStream;
@@ -52,7 +52,7 @@
         private long since = -1;
 
         SlowLoop() throws IOException {
-            super(Log.silent());
+            super(EventLog.silent());
         }
 
         void slow() {
@@ -90,8 +90,8 @@
         Settings weft = settings("sidecar", WEFT);
         loop.post(() -> {
             try {
-                new Helm(helm, loop, Log.silent());
-                new Weft(weft, loop, Log.silent());
+                new Helm(helm, loop, EventLog.silent());
+                new Weft(weft, loop, EventLog.silent());
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -137,7 +137,7 @@
         assertTrue(got.startsWith(wanted), got);
     }
 
-    private static Settings settings(String machineClass, String ip) throws Settings.Unfit {
+    private static Settings settings(String machineClass, String ip) throws Settings.InvalidSettingsException {
         return Settings.parse(
                 """
                 node = "%1$s-1"
--- a/src/test/java/bramblespool/TermTest.java
+++ b/src/test/java/bramblespool/TermTest.java
@@ -8,12 +8,12 @@
 import bramblespool.coordination.HelmCore;
 import bramblespool.coordination.WeftCore;
 import bramblespool.protocol.Orders;
-import bramblespool.raft.Raft;
+import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
-import bramblespool.state.Config;
-import bramblespool.state.Ledger;
-import bramblespool.state.Packed;
+import bramblespool.state.CompressedDocument;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Wire;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -59,7 +59,7 @@
     }
 
     private static String leader(SimMesh mesh) {
-        return Raft.addressOf(mesh.leader().raft.self());
+        return RaftNode.addressOf(mesh.leader().raft.localId());
     }
 
     private static JsonNode ask(SimMesh mesh, String peer, String kind, ObjectNode m) {
@@ -94,7 +94,7 @@
             HelmCore l = mesh.leader();
             if (l != null
                     && l.ledger().candidate() == null
-                    && l.ledger().phase() == Ledger.Phase.MARKED
+                    && l.ledger().phase() == ReplicatedState.Phase.MARKED
                     && mesh.wefts.values().stream().allMatch(WeftCore::sessionOpen)) {
                 break;
             }
@@ -286,7 +286,7 @@
             mesh.world.run(50);
             if (n % 10 == 0 && decided[0] == Long.MAX_VALUE) {
                 mesh.helms.forEach((p, h) -> {
-                    if (h.raft.leads() && !p.equals(cut)) {
+                    if (h.raft.isLeader() && !p.equals(cut)) {
                         h.change(SimMesh.change(6, 5, "two"), o -> {
                             if (o.status() == 200) {
                                 decided[0] = Math.min(decided[0], mesh.world.now());
@@ -307,7 +307,7 @@
     void aSideWithAHigherTermIsNeverStuck(long seed) {
         SimMesh mesh = mesh(seed, 3, 6);
         String peer = SimMesh.weftPeer(mesh.world.random.nextInt(6));
-        long high = mesh.leader().raft.term() + 50;
+        long high = mesh.leader().raft.currentTerm() + 50;
         ask(
                 mesh,
                 peer,
@@ -321,7 +321,9 @@
         assertEquals(high, status(mesh, peer).path("term").asLong());
         assertEquals(200, order(mesh, 6, 5, "two").status());
         settle(mesh);
-        assertTrue(mesh.leader().raft.term() > high, mesh.leader().raft.term() + " leads, " + high + " was known");
+        assertTrue(
+                mesh.leader().raft.currentTerm() > high,
+                mesh.leader().raft.currentTerm() + " leads, " + high + " was known");
         long base = mesh.leader().ledger().current().epoch();
         commits(mesh, base + 1, base, List.of());
     }
@@ -330,10 +332,10 @@
     @Test
     void whoSaysSomethingInALowerTermIsToldTheHigher() {
         SimMesh mesh = mesh(3, 3, 6);
-        long term = mesh.leader().raft.term();
+        long term = mesh.leader().raft.currentTerm();
         mesh.killHelm(leader(mesh), true);
         mesh.world.run(5000);
-        long now = mesh.leader().raft.term();
+        long now = mesh.leader().raft.currentTerm();
         assertTrue(now > term);
         ObjectNode m = JsonNodeFactory.instance
                 .objectNode()
@@ -343,7 +345,7 @@
                 .put("old", 5)
                 .put("new", 6)
                 .put("within", 200)
-                .put("doc", document(6, "late").packed);
+                .put("doc", document(6, "late").compressedDocument);
         ArrayNode wefts = m.putArray("wefts");
         mesh.wefts.forEach((p, w) -> wefts.add(status(mesh, p).path("node").asText()));
         int[] handed = new int[1];
@@ -365,11 +367,11 @@
         });
     }
 
-    private static Config document(long epoch, String prefix) {
+    private static RoutingConfiguration document(long epoch, String prefix) {
         try {
             String text = SimMesh.document(epoch, 5, prefix);
-            return Config.unpack(Packed.pack(text));
-        } catch (Config.Invalid e) {
+            return RoutingConfiguration.compileCompressed(CompressedDocument.compress(text));
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -389,8 +391,8 @@
         mesh.world.afterEach = () -> {
             mesh.helms
                     .values()
-                    .forEach(h ->
-                            led[0] = Math.max(led[0], h.raft.self().equals(h.raft.leaderId()) ? h.raft.term() : 0));
+                    .forEach(h -> led[0] =
+                            Math.max(led[0], h.raft.localId().equals(h.raft.leaderId()) ? h.raft.currentTerm() : 0));
             mesh.wefts.keySet().forEach(p -> {
                 long known = status(mesh, p).path("term").asLong();
                 if (known > led[0]) {
@@ -428,7 +430,7 @@
             mesh.world.run(6000);
             assertEquals(List.of(), broken.stream().limit(3).toList(), "round " + round);
             assertNotNull(mesh.leader(), "round " + round);
-            long term = mesh.leader().raft.term();
+            long term = mesh.leader().raft.currentTerm();
             mesh.wefts
                     .keySet()
                     .forEach(p -> assertTrue(status(mesh, p).path("term").asLong() <= term, p));
@@ -564,7 +566,8 @@
         all.forEach((p, s) -> mesh.world.machine(p).serve((kind, m, answer) -> {
             if (kind.equals("doc")) {
                 asked[0]++;
-                answer.accept(JsonNodeFactory.instance.objectNode().put("doc", document(6, "rival").packed));
+                answer.accept(
+                        JsonNodeFactory.instance.objectNode().put("doc", document(6, "rival").compressedDocument));
             } else {
                 s.serve(kind, m, answer);
             }
@@ -633,14 +636,15 @@
         SimPlatform platform = new SimPlatform();
         SimMesh mesh = SimMesh.metered(seed, 4, 4, platform);
         mesh.world.run(30_000);
-        long fence = mesh.leader().ledger().duties().get("usage").fence();
+        long fence = mesh.leader().ledger().singletonRoles().get("usage").fencingToken();
         int[] lost = new int[1];
         mesh.world.keeper = (from, to, kind, m, deliver) -> kind.equals("raise") && lost[0]++ == 0;
-        platform.answer = () -> mesh.leader().ledger().duties().get("usage").fence() == fence ? 409 : null;
+        platform.answer =
+                () -> mesh.leader().ledger().singletonRoles().get("usage").fencingToken() == fence ? 409 : null;
         mesh.world.run(30_000);
         assertTrue(platform.reports.stream().anyMatch(c -> c.code() == 409));
         assertTrue(
-                mesh.leader().ledger().duties().get("usage").fence() > fence,
+                mesh.leader().ledger().singletonRoles().get("usage").fencingToken() > fence,
                 "a higher fence, " + lost[0] + " words for it");
     }
 
@@ -658,7 +662,7 @@
         mesh.world.keeper = (from, to, kind, m, deliver) -> {
             if (from.equals(old) && kind.equals("cell")) {
                 said[0] += m.path("phase").asInt() == phase ? 1 : 0;
-                if (!deposed.raft.leads()) {
+                if (!deposed.raft.isLeader()) {
                     broken.add("phase " + m.path("phase").asInt() + " in term "
                             + m.path("term").asLong());
                 }
@@ -671,8 +675,8 @@
         }
         assertTrue(said[0] > 0);
         mesh.world.run(r.nextInt(phase == 0 ? 100 : 10));
-        deposed.raft.heardOf(deposed.raft.term() + 1);
-        assertFalse(deposed.raft.leads());
+        deposed.raft.observeTerm(deposed.raft.currentTerm() + 1);
+        assertFalse(deposed.raft.isLeader());
         mesh.world.run(400);
         assertEquals(List.of(), broken);
     }
@@ -682,8 +686,8 @@
     void aWordForAHigherFenceCountsInItsTerm() {
         SimMesh mesh = SimMesh.metered(1, 4, 4, new SimPlatform());
         mesh.world.run(20_000);
-        long fence = mesh.leader().ledger().duties().get("usage").fence();
-        long term = mesh.leader().raft.term();
+        long fence = mesh.leader().ledger().singletonRoles().get("usage").fencingToken();
+        long term = mesh.leader().raft.currentTerm();
         ObjectNode m = JsonNodeFactory.instance.objectNode().put("key", "usage").put("fence", fence);
         assertEquals(
                 term,
@@ -691,9 +695,9 @@
                         .path("term")
                         .asLong());
         mesh.world.run(1000);
-        assertEquals(fence, mesh.leader().ledger().duties().get("usage").fence());
+        assertEquals(fence, mesh.leader().ledger().singletonRoles().get("usage").fencingToken());
         ask(mesh, leader(mesh), "raise", m.put("term", term));
         mesh.world.run(1000);
-        assertTrue(mesh.leader().ledger().duties().get("usage").fence() > fence);
+        assertTrue(mesh.leader().ledger().singletonRoles().get("usage").fencingToken() > fence);
     }
 }
--- a/src/test/java/bramblespool/model/Door.java
+++ b/src/test/java/bramblespool/model/Door.java
@@ -2,7 +2,7 @@
 
 import bramblespool.coordination.HelmCore;
 import bramblespool.protocol.Orders;
-import bramblespool.state.Config;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Wire;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -42,7 +42,8 @@
                     answer.accept(
                             v == null
                                     ? status(503)
-                                    : status(v.packed() == null ? 404 : 200).put("current", v.epoch()));
+                                    : status(v.compressedDocument() == null ? 404 : 200)
+                                            .put("current", v.epoch()));
                 });
             case "evacuate" -> {
                 String zone = m.path("zone").asText();
@@ -62,7 +63,7 @@
         Orders.Change change;
         try {
             change = Orders.change(false, m.path("doc").asText().getBytes(StandardCharsets.UTF_8));
-        } catch (Config.Invalid e) {
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
         History.Change sent = play.operators.changes.get(m.path("name").asInt());
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -4,9 +4,9 @@
 import bramblespool.coordination.WeftCore;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Config;
-import bramblespool.state.Ledger;
-import bramblespool.state.Vault;
+import bramblespool.state.DurableStore;
+import bramblespool.state.ReplicatedState;
+import bramblespool.state.RoutingConfiguration;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -38,13 +38,13 @@
     private final Map<Long, String> leaders = new HashMap<>();
     private final Map<String, Vote> votes = new HashMap<>();
     private final Map<Place, Content> entries = new HashMap<>();
-    private final Map<Long, Vault.Entry> agreed = new HashMap<>();
+    private final Map<Long, DurableStore.LogEntry> agreed = new HashMap<>();
     private final Map<Long, String> states = new HashMap<>();
     private final Map<HelmCore, Long> applied = new IdentityHashMap<>();
     private final Map<HelmCore, Long> led = new IdentityHashMap<>();
     private final Map<WeftCore, Long> epochs = new IdentityHashMap<>();
     private final Map<Long, String> stamps = new HashMap<>();
-    private final Map<Vault.Saved, Long> lost = new IdentityHashMap<>();
+    private final Map<DurableStore.PersistentState, Long> lost = new IdentityHashMap<>();
     private long highestAcked;
     private long highestTerm;
 
@@ -73,20 +73,20 @@
         if (!vote && told == 0) {
             return;
         }
-        Vault.Saved s = by.disk.load();
+        DurableStore.PersistentState s = by.disk.load();
         String member = by.peer + "#" + s.incarnation();
         long term = request.path("term").asLong();
         if (vote) {
             vote(member, term, request.path("from").asText());
         }
-        if (s.term() > term) {
+        if (s.currentTerm() > term) {
             return;
         }
         long base = s.snapshot() == null ? 0 : s.snapshot().index();
         long last = s.entries().isEmpty()
                 ? base
                 : s.entries().get(s.entries().size() - 1).index();
-        if (vote ? s.term() < term || !request.path("from").asText().equals(s.vote()) : last < told) {
+        if (vote ? s.currentTerm() < term || !request.path("from").asText().equals(s.votedFor()) : last < told) {
             throw new Broken("DurableBeforeTold", member + " says yes to " + kind + " before its disk has it");
         }
     }
@@ -112,15 +112,20 @@
     // ---- disks
 
     @Override
-    public void wrote(SimWorld.Machine at, Vault.Change c, Vault.Saved before, Vault.Saved after) {
+    public void wrote(
+            SimWorld.Machine at,
+            DurableStore.Change c,
+            DurableStore.PersistentState before,
+            DurableStore.PersistentState after) {
         String member = at.peer + "#" + after.incarnation();
-        if (c.term() < before.term()) {
-            throw new Broken("TermsOnlyRise", member + " goes from term " + before.term() + " to " + c.term());
+        if (c.currentTerm() < before.currentTerm()) {
+            throw new Broken(
+                    "TermsOnlyRise", member + " goes from term " + before.currentTerm() + " to " + c.currentTerm());
         }
-        if (c.vote() != null) {
-            vote(member, c.term(), c.vote());
+        if (c.votedFor() != null) {
+            vote(member, c.currentTerm(), c.votedFor());
         }
-        if (c.truncateFrom() > 0 && c.truncateFrom() <= before.commit() && c.snapshot() == null) {
+        if (c.truncateFrom() > 0 && c.truncateFrom() <= before.commitIndex() && c.snapshot() == null) {
             throw new Broken("AgreedStays", member + " drops what it held as agreed, from " + c.truncateFrom());
         }
         if (c.snapshot() != null
@@ -134,15 +139,15 @@
         match(member, c, after);
     }
 
-    private void match(String member, Vault.Change c, Vault.Saved after) {
-        List<Vault.Entry> log = after.entries();
+    private void match(String member, DurableStore.Change c, DurableStore.PersistentState after) {
+        List<DurableStore.LogEntry> log = after.entries();
         for (int i = log.size() - 1; i >= 0; i--) {
-            Vault.Entry e = log.get(i);
-            Vault.Entry one = i > 0 ? log.get(i - 1) : null;
+            DurableStore.LogEntry e = log.get(i);
+            DurableStore.LogEntry one = i > 0 ? log.get(i - 1) : null;
             if (one != null && one.index() != e.index() - 1) {
                 throw new Broken("LogsMatch", member + " has a gap before " + e.index());
             }
-            if (i < log.size() - c.append().size()) {
+            if (i < log.size() - c.appendedEntries().size()) {
                 break;
             }
             long termBefore = one != null
@@ -157,15 +162,15 @@
             }
         }
         for (int i = log.size() - 1; i >= 0; i--) {
-            Vault.Entry e = log.get(i);
-            if (e.index() > after.commit()) {
+            DurableStore.LogEntry e = log.get(i);
+            if (e.index() > after.commitIndex()) {
                 continue;
             }
-            Vault.Entry known = agreed.putIfAbsent(e.index(), e);
+            DurableStore.LogEntry known = agreed.putIfAbsent(e.index(), e);
             if (known == e
                     || known != null
                             && known.equals(e)
-                            && i < log.size() - c.append().size() - 8) {
+                            && i < log.size() - c.appendedEntries().size() - 8) {
                 break;
             }
             if (known != null && !known.equals(e)) {
@@ -175,7 +180,7 @@
     }
 
     /** Whether this disk has a change's candidate and its decision, or a snapshot that knows it as taken. */
-    private static boolean holds(Vault.Saved s, History.Change c) {
+    private static boolean holds(DurableStore.PersistentState s, History.Change c) {
         boolean decided = false;
         for (int i = s.entries().size() - 1; i >= 0; i--) {
             String data = s.entries().get(i).data();
@@ -188,12 +193,12 @@
                 decided = !candidate;
             }
         }
-        return s.snapshot() != null && s.snapshot().data() != null && folded(s).taken(c.digest);
+        return s.snapshot() != null && s.snapshot().data() != null && folded(s).isCommitted(c.digest);
     }
 
     /** Who folds what a disk holds into a ledger: what this helm would know were it alone and all there agreed. */
-    private static Ledger folded(Vault.Saved s) {
-        Ledger out = new Ledger();
+    private static ReplicatedState folded(DurableStore.PersistentState s) {
+        ReplicatedState out = new ReplicatedState();
         if (s.snapshot() != null && s.snapshot().data() != null) {
             out.restore(read(RaftView.state(s.snapshot())));
         }
@@ -218,8 +223,8 @@
         }
     }
 
-    private List<Vault.Saved> disks() {
-        List<Vault.Saved> out = new ArrayList<>();
+    private List<DurableStore.PersistentState> disks() {
+        List<DurableStore.PersistentState> out = new ArrayList<>();
         mesh.world.machines().forEach(m -> out.add(m.disk.load()));
         lost.values().removeIf(at -> mesh.world.now() - at > LATELY);
         out.addAll(lost.keySet());
@@ -230,7 +235,7 @@
     void acknowledged(History.Change c) {
         highestAcked = Math.max(highestAcked, c.number);
         int held = 0;
-        for (Vault.Saved s : disks()) {
+        for (DurableStore.PersistentState s : disks()) {
             if (holds(s, c)) {
                 held++;
             }
@@ -242,9 +247,9 @@
 
     void evacuationAcknowledged(String zone, boolean on) {
         int held = 0;
-        for (Vault.Saved s : disks()) {
-            Ledger.Evacuation e = folded(s).evacuations().get(zone);
-            if (e == null ? !on : e.on() == on) {
+        for (DurableStore.PersistentState s : disks()) {
+            ReplicatedState.Evacuation e = folded(s).evacuations().get(zone);
+            if (e == null ? !on : e.isEvacuated() == on) {
                 held++;
             }
         }
@@ -294,9 +299,9 @@
         }
     }
 
-    private void stamp(Ledger.Version v) {
+    private void stamp(ReplicatedState.Version v) {
         if (v.epoch() > 0) {
-            String s = Config.stamp(v.packed());
+            String s = RoutingConfiguration.stampOf(v.compressedDocument());
             String other = stamps.putIfAbsent(v.epoch(), s);
             if (other != null && !other.equals(s)) {
                 throw new Broken("AgreedStays", "two documents are agreed as " + v.epoch());
--- a/src/test/java/bramblespool/model/Operators.java
+++ b/src/test/java/bramblespool/model/Operators.java
@@ -3,7 +3,7 @@
 import bramblespool.protocol.Orders;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Config;
+import bramblespool.state.RoutingConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -80,7 +80,7 @@
         try {
             digest = Orders.change(false, document.getBytes(StandardCharsets.UTF_8))
                     .digest();
-        } catch (Config.Invalid e) {
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
         History.Change c = new History.Change(name, known, number, document, digest);
--- a/src/test/java/bramblespool/model/Play.java
+++ b/src/test/java/bramblespool/model/Play.java
@@ -125,7 +125,7 @@
         }
         operators.evacuated.forEach((zone, on) -> {
             var e = mesh.leader().ledger().evacuations().get(zone);
-            if (!operators.evacuating(zone) && (e != null && e.on()) != on) {
+            if (!operators.evacuating(zone) && (e != null && e.isEvacuated()) != on) {
                 throw new Broken("AcknowledgedIsKept", "evacuation of " + zone + " is not " + on);
             }
         });
--- a/src/test/java/bramblespool/model/RaftView.java
+++ b/src/test/java/bramblespool/model/RaftView.java
@@ -1,8 +1,8 @@
 package bramblespool.model;
 
 import bramblespool.coordination.HelmCore;
-import bramblespool.raft.Raft;
-import bramblespool.state.Vault;
+import bramblespool.raft.RaftNode;
+import bramblespool.state.DurableStore;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 
@@ -11,20 +11,20 @@
     private RaftView() {}
 
     static boolean leads(HelmCore h) {
-        return h.raft.leads();
+        return h.raft.isLeader();
     }
 
     static long term(HelmCore h) {
-        return h.raft.term();
+        return h.raft.currentTerm();
     }
 
     static long applied(HelmCore h) {
-        return h.raft.applied();
+        return h.raft.lastApplied();
     }
 
     /** Where a caller is sent on to, or null. */
     static String leaderControl(HelmCore h) {
-        return h.raft.leaderControl();
+        return h.raft.leaderControlAddress();
     }
 
     static List<String> voters(HelmCore h) {
@@ -32,7 +32,7 @@
     }
 
     static String member(HelmCore h) {
-        return h.raft.self();
+        return h.raft.localId();
     }
 
     /** Whether only a leader sends this kind of message. */
@@ -57,11 +57,11 @@
     }
 
     /** The state that a snapshot on a disk holds, without the digest before it. */
-    static String state(Vault.Snapshot s) {
+    static String state(DurableStore.Snapshot s) {
         return s.data().substring(s.data().indexOf('{'));
     }
 
     static String addressOf(String member) {
-        return Raft.addressOf(member);
+        return RaftNode.addressOf(member);
     }
 }
--- a/src/test/java/bramblespool/role/Scene.java
+++ b/src/test/java/bramblespool/role/Scene.java
@@ -5,8 +5,8 @@
 import bramblespool.coordination.WeftCore;
 import bramblespool.protocol.Beat;
 import bramblespool.sim.SimMesh;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
 import bramblespool.transport.HttpWire;
@@ -52,7 +52,7 @@
 
     private static Loop loop() {
         try {
-            return new Loop(Log.silent());
+            return new Loop(EventLog.silent());
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -119,7 +119,7 @@
     final String peer;
 
     Scene() throws Exception {
-        Config config = Config.compile(SimMesh.document(3, 0, "x")
+        RoutingConfiguration config = RoutingConfiguration.compile(SimMesh.document(3, 0, "x")
                 .replace(
                         "[\"r\",\"x.example\",\"/x/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]",
                         route("SERVER", "mutating", "desk") + "," + route("SERVER", "idempotent", "desk") + ","
@@ -155,7 +155,7 @@
         WeftCore core = core("out", "own", "127.0.0.1:1", config);
         Ports p = ports();
         Upstream upstream = on(() -> new Upstream(LOOP, p.buffers()));
-        wire = new HttpWire(clock, upstream, p.buffers(), NEVER_MS, Log.silent());
+        wire = new HttpWire(clock, upstream, p.buffers(), NEVER_MS, EventLog.silent());
         outbound = listen(p, on(() -> {
             for (ObjectNode d : doors) {
                 core.fleet.hear(new News.Item(Fleet.SIDE + d.path("inbound").asText(), 1, 1, d));
@@ -176,7 +176,7 @@
                         @Override
                         public void behind() {}
                     },
-                    Log.silent());
+                    EventLog.silent());
         }));
     }
 
@@ -207,7 +207,7 @@
     }
 
     private Ports ports() {
-        Ports p = new Ports(LOOP, Log.silent());
+        Ports p = new Ports(LOOP, EventLog.silent());
         ports.add(p);
         return p;
     }
@@ -233,7 +233,8 @@
         }
     }
 
-    private WeftCore core(String node, String target, String app, Config config) throws Settings.Unfit {
+    private WeftCore core(String node, String target, String app, RoutingConfiguration config)
+            throws Settings.InvalidSettingsException {
         Settings s = Settings.parse("""
                 node = "%1$s"
                 machineClass = "sidecar"
@@ -254,7 +255,7 @@
                 %5$s                """.formatted(node, IP, app, target, SimMesh.BOUNDS), "test");
         return on(() -> {
             WeftCore core =
-                    new WeftCore(s, clock, (to, kind, body, within, answer) -> answer.accept(null), Log.silent());
+                    new WeftCore(s, clock, (to, kind, body, within, answer) -> answer.accept(null), EventLog.silent());
             core.shadow.adopt(config, true);
             return core;
         });
--- a/src/test/java/bramblespool/sim/SimMesh.java
+++ b/src/test/java/bramblespool/sim/SimMesh.java
@@ -4,8 +4,8 @@
 import bramblespool.coordination.WeftCore;
 import bramblespool.protocol.Beat;
 import bramblespool.protocol.Orders;
-import bramblespool.state.Config;
-import bramblespool.state.Log;
+import bramblespool.state.EventLog;
+import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -160,7 +160,7 @@
                         BOUNDS);
         try {
             return Settings.parse(text, "simulated");
-        } catch (Settings.Unfit e) {
+        } catch (Settings.InvalidSettingsException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -175,7 +175,7 @@
                 m,
                 m,
                 platform == null ? null : platform.seenBy(m),
-                Log.silent());
+                EventLog.silent());
         m.serve(h);
         helms.put(peer, h);
         h.start();
@@ -203,7 +203,7 @@
     private WeftCore startSide(String peer, Map<String, WeftCore> among) {
         SimWorld.Machine m = world.machine(peer);
         m.boot();
-        WeftCore w = new WeftCore(settings(peer, seeds, false), m, m, Log.silent());
+        WeftCore w = new WeftCore(settings(peer, seeds, false), m, m, EventLog.silent());
         m.serve(w);
         among.put(peer, w);
         w.start();
@@ -223,7 +223,7 @@
     public HelmCore leader() {
         HelmCore best = null;
         for (HelmCore h : helms.values()) {
-            if (h.raft.leads() && (best == null || h.raft.term() > best.raft.term())) {
+            if (h.raft.isLeader() && (best == null || h.raft.currentTerm() > best.raft.currentTerm())) {
                 best = h;
             }
         }
@@ -264,7 +264,7 @@
     private static Orders.Change change(String document) {
         try {
             return Orders.change(false, document.getBytes(StandardCharsets.UTF_8));
-        } catch (Config.Invalid e) {
+        } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/bramblespool/sim/SimWorld.java
+++ b/src/test/java/bramblespool/sim/SimWorld.java
@@ -1,6 +1,6 @@
 package bramblespool.sim;
 
-import bramblespool.state.Vault;
+import bramblespool.state.DurableStore;
 import bramblespool.transport.Clock;
 import bramblespool.transport.Wire;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -59,7 +59,11 @@
 
         void answered(Machine by, String kind, JsonNode request, JsonNode answer);
 
-        void wrote(Machine at, Vault.Change change, Vault.Saved before, Vault.Saved after);
+        void wrote(
+                Machine at,
+                DurableStore.Change change,
+                DurableStore.PersistentState before,
+                DurableStore.PersistentState after);
     }
 
     public Runnable afterEach = () -> {};
@@ -404,10 +408,10 @@
     }
 
     /** A disk that syncs a little later, and may be full, slow or lost. */
-    public final class Disk implements Vault {
+    public final class Disk implements DurableStore {
         private final Machine machine;
-        private Saved held;
-        private final java.util.Map<String, Kept> words = new java.util.LinkedHashMap<>();
+        private PersistentState held;
+        private final java.util.Map<String, StoredRegister> words = new java.util.LinkedHashMap<>();
         private final ArrayDeque<Object[]> jobs = new ArrayDeque<>();
         /** Milliseconds that a sync takes beyond the usual. */
         public long slowMs;
@@ -448,13 +452,13 @@
         }
 
         @Override
-        public Saved load() {
+        public PersistentState load() {
             return held;
         }
 
         @Override
-        public void found(String incarnation, List<Entry> first) {
-            held = new Saved(incarnation, 0, null, 0, null, new ArrayList<>(first));
+        public void initialize(String incarnation, List<LogEntry> first) {
+            held = new PersistentState(incarnation, 0, null, 0, null, new ArrayList<>(first));
         }
 
         @Override
@@ -463,17 +467,17 @@
         }
 
         @Override
-        public void keep(List<Kept> more, Runnable durable) {
+        public void saveRegisters(List<StoredRegister> more, Runnable durable) {
             add(List.copyOf(more), durable);
         }
 
         @Override
-        public List<Kept> kept() {
+        public List<StoredRegister> loadRegisters() {
             return new ArrayList<>(words.values());
         }
 
         @Override
-        public void fade(int parts) {}
+        public void expireRegisters(int parts) {}
 
         private void add(Object job, Runnable durable) {
             jobs.add(new Object[] {job, durable});
@@ -502,10 +506,10 @@
         @SuppressWarnings("unchecked")
         private void write(Object job) {
             if (!(job instanceof Change c)) {
-                ((List<Kept>) job).forEach(k -> words.put(k.id(), k));
+                ((List<StoredRegister>) job).forEach(k -> words.put(k.registerId(), k));
                 return;
             }
-            List<Entry> entries = new ArrayList<>(held.entries());
+            List<LogEntry> entries = new ArrayList<>(held.entries());
             if (c.truncateFrom() > 0) {
                 entries.removeIf(e -> e.index() >= c.truncateFrom());
             }
@@ -514,21 +518,22 @@
                 snap = c.snapshot();
                 entries.removeIf(e -> e.index() <= c.snapshot().index());
             }
-            entries.addAll(c.append());
-            Saved before = held;
-            held = new Saved(held.incarnation(), c.term(), c.vote(), c.commit(), snap, entries);
+            entries.addAll(c.appendedEntries());
+            PersistentState before = held;
+            held = new PersistentState(
+                    held.incarnation(), c.currentTerm(), c.votedFor(), c.commitIndex(), snap, entries);
             if (tap != null) {
                 tap.wrote(machine, c, before, held);
             }
         }
 
         @Override
-        public long waitingSince() {
+        public long pendingSinceMs() {
             return waitingSince;
         }
 
         @Override
-        public boolean failing() {
+        public boolean isFailing() {
             return full && !jobs.isEmpty();
         }
     }
--- a/src/test/java/bramblespool/state/VaultTest.java
+++ b/src/test/java/bramblespool/state/VaultTest.java
@@ -7,14 +7,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.HelmCore;
-import bramblespool.raft.Raft;
+import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
-import bramblespool.state.Vault.Change;
-import bramblespool.state.Vault.Entry;
-import bramblespool.state.Vault.Kept;
-import bramblespool.state.Vault.Saved;
-import bramblespool.state.Vault.Snapshot;
+import bramblespool.state.DurableStore.Change;
+import bramblespool.state.DurableStore.LogEntry;
+import bramblespool.state.DurableStore.PersistentState;
+import bramblespool.state.DurableStore.Snapshot;
+import bramblespool.state.DurableStore.StoredRegister;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -50,7 +50,7 @@
 
 /** The store of a helm: on a disk that loses power, is lost, or does not work for a while. */
 class VaultTest {
-    private static final String DB = SqliteStore.DATABASE;
+    private static final String DB = SqliteDatabaseFiles.DATABASE;
     private static final String WAL = DB + "-wal";
     /** What a disk writes whole or not at all, nearly. */
     private static final int SECTOR = 512;
@@ -59,7 +59,7 @@
     Path dir;
 
     private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-    private final Log log = new Log("n", new PrintStream(said, true), Log.Level.INFO);
+    private final EventLog log = new EventLog("n", new PrintStream(said, true), EventLog.Level.INFO);
     private int images;
 
     // ---- a disk that may lose power
@@ -116,7 +116,7 @@
     }
 
     /** The real folder, which also knows what has been synced, and keeps the moment after each of its steps. */
-    private static final class Recorder extends Folder {
+    private static final class Recorder extends SyncedDirectory {
         private final List<Moment> moments = new ArrayList<>();
         private final Map<String, byte[]> synced = new TreeMap<>();
         private final Set<String> names = new HashSet<>();
@@ -142,8 +142,8 @@
         }
 
         @Override
-        void make(String name) throws IOException {
-            super.make(name);
+        void createIfAbsent(String name) throws IOException {
+            super.createIfAbsent(name);
             step();
         }
 
@@ -182,7 +182,7 @@
     }
 
     /** A folder whose syncs cost nothing: an image is only looked at. */
-    private static final class Image extends Folder {
+    private static final class Image extends SyncedDirectory {
         Image(Path path) {
             super(path);
         }
@@ -194,7 +194,7 @@
         void sync() {}
     }
 
-    private record Seen(Saved saved, List<Kept> kept, boolean setAside) {}
+    private record Seen(PersistentState saved, List<StoredRegister> kept, boolean setAside) {}
 
     /** Opens a disk that holds this. */
     private Seen open(Map<String, byte[]> image) throws Exception {
@@ -202,10 +202,10 @@
         for (Map.Entry<String, byte[]> f : image.entrySet()) {
             Files.write(at.resolve(f.getKey()), f.getValue());
         }
-        SqliteVault v = vault(new Image(at), Log.silent());
-        Seen out = new Seen(v.load(), v.kept(), v.setAside());
-        if (v.store.db != null) {
-            sql(v.store.db, "PRAGMA synchronous=OFF");
+        SqliteDurableStore v = vault(new Image(at), EventLog.silent());
+        Seen out = new Seen(v.load(), v.loadRegisters(), v.hasQuarantinedDatabase());
+        if (v.files.connection != null) {
+            sql(v.files.connection, "PRAGMA synchronous=OFF");
         }
         v.close();
         for (String n : read(at).keySet()) {
@@ -215,8 +215,8 @@
         return out;
     }
 
-    private static SqliteVault vault(Folder folder, Log log) {
-        return new SqliteVault(folder, Runnable::run, System::nanoTime, log, () -> {}, () -> {
+    private static SqliteDurableStore vault(SyncedDirectory folder, EventLog log) {
+        return new SqliteDurableStore(folder, Runnable::run, System::nanoTime, log, () -> {}, () -> {
             throw new AssertionError("it waits");
         });
     }
@@ -229,22 +229,23 @@
         }
     }
 
-    private static void save(SqliteVault v, Change change) throws InterruptedException {
+    private static void save(SqliteDurableStore v, Change change) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         v.save(change, done::countDown);
         assertTrue(done.await(120, TimeUnit.SECONDS));
     }
 
-    private static void keep(SqliteVault v, List<Kept> words) throws InterruptedException {
+    private static void keep(SqliteDurableStore v, List<StoredRegister> words) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        v.keep(words, done::countDown);
+        v.saveRegisters(words, done::countDown);
         assertTrue(done.await(120, TimeUnit.SECONDS));
     }
 
     /** What a store that did all this must hold. */
     private static final class Model {
-        private Saved saved = new Saved("abc", 0, null, 0, null, List.of(new Entry(1, 0, "first")));
-        private final List<Kept> kept = new ArrayList<>();
+        private PersistentState saved =
+                new PersistentState("abc", 0, null, 0, null, List.of(new LogEntry(1, 0, "first")));
+        private final List<StoredRegister> kept = new ArrayList<>();
 
         Seen seen() {
             return new Seen(saved, List.copyOf(kept), false);
@@ -257,28 +258,28 @@
         }
 
         void take(Change c) {
-            List<Entry> entries = new ArrayList<>(saved.entries());
+            List<LogEntry> entries = new ArrayList<>(saved.entries());
             if (c.truncateFrom() > 0) {
                 entries.removeIf(e -> e.index() >= c.truncateFrom());
             }
             if (c.snapshot() != null) {
                 entries.removeIf(e -> e.index() <= c.snapshot().index());
             }
-            entries.addAll(c.append());
-            saved = new Saved(
+            entries.addAll(c.appendedEntries());
+            saved = new PersistentState(
                     "abc",
-                    c.term(),
-                    c.vote(),
-                    c.commit(),
+                    c.currentTerm(),
+                    c.votedFor(),
+                    c.commitIndex(),
                     c.snapshot() != null ? c.snapshot() : saved.snapshot(),
                     entries);
         }
 
         /** Entries added, agreed, taken back, folded. */
         Change next(Random random) {
-            long term = saved.term() + (random.nextInt(4) == 0 ? 1 : 0);
-            long commit = saved.commit() + random.nextInt((int) (last() - saved.commit()) + 1);
-            long from = term > saved.term() && last() > commit && random.nextBoolean() ? commit + 1 : 0;
+            long term = saved.currentTerm() + (random.nextInt(4) == 0 ? 1 : 0);
+            long commit = saved.commitIndex() + random.nextInt((int) (last() - saved.commitIndex()) + 1);
+            long from = term > saved.currentTerm() && last() > commit && random.nextBoolean() ? commit + 1 : 0;
             long base = saved.snapshot() == null ? 0 : saved.snapshot().index();
             Snapshot fold = null;
             if (commit > base + 6 && random.nextInt(3) == 0) {
@@ -288,9 +289,9 @@
                         List.of("m", "n"),
                         text(random, 9000));
             }
-            List<Entry> append = new ArrayList<>();
+            List<LogEntry> append = new ArrayList<>();
             for (int i = random.nextInt(4); i > 0; i--) {
-                append.add(new Entry((from > 0 ? from : last() + 1) + append.size(), term, text(random, 3000)));
+                append.add(new LogEntry((from > 0 ? from : last() + 1) + append.size(), term, text(random, 3000)));
             }
             return new Change(term, "v" + random.nextInt(3), commit, from, append, fold);
         }
@@ -328,10 +329,10 @@
     void aLossOfPowerLeavesWhatWasAcknowledged(long seed) throws Exception {
         Random random = new Random(seed);
         Recorder disk = new Recorder(dir);
-        SqliteVault v = vault(disk, log);
+        SqliteDurableStore v = vault(disk, log);
         assertNull(v.load());
         Model model = new Model();
-        v.found("abc", model.saved.entries());
+        v.initialize("abc", model.saved.entries());
         for (Moment m : disk.moments) {
             for (int i = 0; i < 4; i++) {
                 Seen seen = open(m.lose(random));
@@ -341,7 +342,7 @@
         for (int i = 0; i < 4; i++) {
             assertEquals(model.seen(), open(disk.moment().lose(random)), "it was founded");
         }
-        sql(v.store.db, "PRAGMA wal_autocheckpoint=12");
+        sql(v.files.connection, "PRAGMA wal_autocheckpoint=12");
         Moment before = disk.acknowledged();
         int moved = 0;
         int begun = 0;
@@ -350,8 +351,9 @@
         for (int step = 0; step < 40; step++) {
             Seen old = model.seen();
             if (random.nextInt(4) == 0) {
-                List<Kept> words = List.of(
-                        new Kept("r" + step, "1.a", "1.a", Model.text(random, 900)), new Kept("", null, null, "7"));
+                List<StoredRegister> words = List.of(
+                        new StoredRegister("r" + step, "1.a", "1.a", Model.text(random, 900)),
+                        new StoredRegister("", null, null, "7"));
                 model.kept.addAll(words);
                 keep(v, words);
             } else {
@@ -390,8 +392,8 @@
         Recorder disk = new Recorder(at);
         disk.names.add(DB);
         disk.synced.putAll(before.synced);
-        SqliteVault v = vault(disk, log);
-        Seen told = new Seen(v.load(), v.kept(), v.setAside());
+        SqliteDurableStore v = vault(disk, log);
+        Seen told = new Seen(v.load(), v.loadRegisters(), v.hasQuarantinedDatabase());
         assertTrue(may.contains(told));
         for (int i = 0; i < 3; i++) {
             assertEquals(told, open(disk.moment().lose(random)), "it was told after a start");
@@ -402,7 +404,7 @@
     @Test
     void thisOrderOfSyncsIsTheOneThatWasTraced() throws Exception {
         Files.write(dir.resolve(DB), whole);
-        SqliteVault v = vault(new Folder(dir), log);
+        SqliteDurableStore v = vault(new SyncedDirectory(dir), log);
         Map<String, String> wanted = Map.of(
                 "PRAGMA synchronous",
                 "2",
@@ -413,11 +415,11 @@
                 "SELECT sqlite_version()",
                 "3.49.1",
                 "PRAGMA application_id",
-                "" + SqliteStore.APPLICATION,
+                "" + SqliteDatabaseFiles.APPLICATION_ID,
                 "PRAGMA user_version",
                 "1");
         for (Map.Entry<String, String> w : wanted.entrySet()) {
-            try (Statement s = v.store.db.createStatement();
+            try (Statement s = v.files.connection.createStatement();
                     ResultSet r = s.executeQuery(w.getKey())) {
                 assertEquals(w.getValue(), r.getString(1), w.getKey());
             }
@@ -427,21 +429,24 @@
 
     @Test
     void theVaultKeepsWhatItSaid() throws Exception {
-        SqliteVault v = new SqliteVault(dir.toString(), Runnable::run, System::nanoTime, Log.silent());
+        SqliteDurableStore v =
+                new SqliteDurableStore(dir.toString(), Runnable::run, System::nanoTime, EventLog.silent());
         assertNull(v.load());
-        v.found("abc", List.of(new Entry(1, 0, "first")));
+        v.initialize("abc", List.of(new LogEntry(1, 0, "first")));
         CountDownLatch done = new CountDownLatch(3);
         v.save(
-                new Change(3, "x", 1, 0, List.of(new Entry(2, 3, "two"), new Entry(3, 3, "three")), null),
+                new Change(3, "x", 1, 0, List.of(new LogEntry(2, 3, "two"), new LogEntry(3, 3, "three")), null),
                 done::countDown);
-        v.save(new Change(4, null, 2, 3, List.of(new Entry(3, 4, "other")), null), done::countDown);
+        v.save(new Change(4, null, 2, 3, List.of(new LogEntry(3, 4, "other")), null), done::countDown);
         v.save(new Change(4, "y", 2, 0, List.of(), new Snapshot(2, 3, List.of("m"), "{}")), done::countDown);
         assertTrue(done.await(120, TimeUnit.SECONDS));
         v.close();
-        SqliteVault again = new SqliteVault(dir.toString(), Runnable::run, System::nanoTime, Log.silent());
-        Saved s = again.load();
+        SqliteDurableStore again =
+                new SqliteDurableStore(dir.toString(), Runnable::run, System::nanoTime, EventLog.silent());
+        PersistentState s = again.load();
         assertEquals(
-                new Saved("abc", 4, "y", 2, new Snapshot(2, 3, List.of("m"), "{}"), List.of(new Entry(3, 4, "other"))),
+                new PersistentState(
+                        "abc", 4, "y", 2, new Snapshot(2, 3, List.of("m"), "{}"), List.of(new LogEntry(3, 4, "other"))),
                 s);
         again.close();
     }
@@ -456,51 +461,52 @@
             })
     void afterAFailedWriteWritesHoldAgain(String fails, String holds) throws Exception {
         CountDownLatch done = new CountDownLatch(2);
-        SqliteVault[] vault = new SqliteVault[1];
+        SqliteDurableStore[] vault = new SqliteDurableStore[1];
         List<String> paused = new ArrayList<>();
-        SqliteVault v =
-                new SqliteVault(new Folder(dir), Runnable::run, System::nanoTime, Log.silent(), () -> {}, () -> {
-                    paused.add(done.getCount() + " waiting, failing: " + vault[0].failing());
+        SqliteDurableStore v = new SqliteDurableStore(
+                new SyncedDirectory(dir), Runnable::run, System::nanoTime, EventLog.silent(), () -> {}, () -> {
+                    paused.add(done.getCount() + " waiting, failing: " + vault[0].isFailing());
                     if (paused.size() == 3) {
                         try {
-                            sql(vault[0].store.db, holds);
+                            sql(vault[0].files.connection, holds);
                         } catch (SQLException e) {
                             throw new AssertionError(e);
                         }
                     }
                 });
         vault[0] = v;
-        v.found("abc", List.of());
-        sql(v.store.db, fails);
-        v.save(new Change(1, "x", 0, 0, List.of(new Entry(1, 1, "long ".repeat(10_000))), null), done::countDown);
-        v.save(new Change(2, "y", 1, 0, List.of(new Entry(2, 2, "short")), null), done::countDown);
+        v.initialize("abc", List.of());
+        sql(v.files.connection, fails);
+        v.save(new Change(1, "x", 0, 0, List.of(new LogEntry(1, 1, "long ".repeat(10_000))), null), done::countDown);
+        v.save(new Change(2, "y", 1, 0, List.of(new LogEntry(2, 2, "short")), null), done::countDown);
         assertTrue(done.await(120, TimeUnit.SECONDS), "writes hold again by themselves");
         assertEquals(
                 List.of("2 waiting, failing: true", "2 waiting, failing: true", "2 waiting, failing: true"),
                 paused,
                 "nothing counts as durable while writes fail");
-        assertFalse(v.failing());
+        assertFalse(v.isFailing());
         v.close();
-        SqliteVault again = new SqliteVault(dir.toString(), Runnable::run, System::nanoTime, Log.silent());
-        assertEquals(2, again.load().term());
+        SqliteDurableStore again =
+                new SqliteDurableStore(dir.toString(), Runnable::run, System::nanoTime, EventLog.silent());
+        assertEquals(2, again.load().currentTerm());
         assertEquals(2, again.load().entries().size());
         again.close();
     }
 
     // ---- lost disks
 
-    private static final List<Entry> ENTRIES =
-            List.of(new Entry(2, 1, "two"), new Entry(3, 2, "three".repeat(2000)), new Entry(4, 2, "four"));
+    private static final List<LogEntry> ENTRIES =
+            List.of(new LogEntry(2, 1, "two"), new LogEntry(3, 2, "three".repeat(2000)), new LogEntry(4, 2, "four"));
 
     private static byte[] whole;
 
     /** A store with something of everything, all of it acknowledged, and closed. */
     @BeforeAll
     static void found(@TempDir Path at) throws Exception {
-        SqliteVault v = vault(new Folder(at), Log.silent());
-        v.found("abc", List.of(new Entry(1, 0, "first")));
+        SqliteDurableStore v = vault(new SyncedDirectory(at), EventLog.silent());
+        v.initialize("abc", List.of(new LogEntry(1, 0, "first")));
         save(v, new Change(2, "x", 3, 0, ENTRIES, null));
-        keep(v, List.of(new Kept("r", "1.a", "1.a", "v")));
+        keep(v, List.of(new StoredRegister("r", "1.a", "1.a", "v")));
         v.close();
         assertEquals(Set.of(DB), read(at).keySet());
         whole = Files.readAllBytes(at.resolve(DB));
@@ -560,8 +566,10 @@
         ENTRY_TORN(words("UPDATE log SET data='other' WHERE idx=4")),
         ENTRY_OF_ANOTHER_PLACE(words(
                 "DELETE FROM log WHERE idx=2", "UPDATE log SET idx=2 WHERE idx=4", "DELETE FROM log WHERE idx=3")),
-        TERMS_GO_BACK(words("UPDATE log SET term=0, sum=" + SqliteStore.sum(4, 0, "four") + " WHERE idx=4")),
-        TERM_TO_COME(words("UPDATE log SET term=9, sum=" + SqliteStore.sum(4, 9, "four") + " WHERE idx=4")),
+        TERMS_GO_BACK(
+                words("UPDATE log SET term=0, sum=" + SqliteDatabaseFiles.checksum(4, 0, "four") + " WHERE idx=4")),
+        TERM_TO_COME(
+                words("UPDATE log SET term=9, sum=" + SqliteDatabaseFiles.checksum(4, 9, "four") + " WHERE idx=4")),
         VOTE_TORN(words("UPDATE self SET vote=NULL")),
         WORD_TORN(words("UPDATE register SET promised=NULL")),
         SNAPSHOT_TORN(words("INSERT INTO snapshot VALUES(1,1,0,'[]','{}',1)"));
@@ -583,26 +591,26 @@
                 : "helm.db.aside-1-wal";
         byte[] held = Files.readAllBytes(dir.resolve(lost.endsWith("wal") ? WAL : DB));
         for (int start = 0; start < 2; start++) {
-            SqliteVault v = vault(new Folder(dir), log);
+            SqliteDurableStore v = vault(new SyncedDirectory(dir), log);
             assertNull(v.load(), "never a part of it");
-            assertEquals(List.of(), v.kept());
-            assertTrue(v.setAside());
+            assertEquals(List.of(), v.loadRegisters());
+            assertTrue(v.hasQuarantinedDatabase());
             v.close();
         }
         assertTrue(
                 said.toString()
-                        .contains(
-                                "ERROR B503 DISK_SET_ASIDE node=n path=" + dir.resolve("helm.db.aside-1") + " cause="),
+                        .contains("ERROR B503 STORE_QUARANTINED node=n path=" + dir.resolve("helm.db.aside-1")
+                                + " cause="),
                 said::toString);
         assertEquals(1, said.toString().split("B503", -1).length - 1, "said once");
         assertTrue(Arrays.equals(held, Files.readAllBytes(dir.resolve(lost))), "as it was found");
-        SqliteVault v = vault(new Folder(dir), log);
-        v.found("new", List.of());
-        save(v, new Change(5, null, 0, 0, List.of(new Entry(1, 5, "anew")), null));
+        SqliteDurableStore v = vault(new SyncedDirectory(dir), log);
+        v.initialize("new", List.of());
+        save(v, new Change(5, null, 0, 0, List.of(new LogEntry(1, 5, "anew")), null));
         v.close();
-        v = vault(new Folder(dir), log);
-        assertEquals(new Saved("new", 5, null, 0, null, List.of(new Entry(1, 5, "anew"))), v.load());
-        assertTrue(v.setAside(), "and is remembered");
+        v = vault(new SyncedDirectory(dir), log);
+        assertEquals(new PersistentState("new", 5, null, 0, null, List.of(new LogEntry(1, 5, "anew"))), v.load());
+        assertTrue(v.hasQuarantinedDatabase(), "and is remembered");
         v.close();
     }
 
@@ -611,7 +619,7 @@
         for (int i = 1; i < 5; i++) {
             Loss.NO_DATABASE.damage.to(dir.resolve(DB));
             Files.writeString(dir.resolve(WAL), "nor a log");
-            vault(new Folder(dir), log).close();
+            vault(new SyncedDirectory(dir), log).close();
         }
         assertEquals(
                 Set.of("helm.db.aside-3", "helm.db.aside-3-wal", "helm.db.aside-4", "helm.db.aside-4-wal"),
@@ -619,9 +627,9 @@
     }
 
     /** Breaks an open store: its table of tables is unreadable from now on, and what is on the disk is as it was. */
-    private static void ruin(SqliteVault v) throws SQLException {
+    private static void ruin(SqliteDurableStore v) throws SQLException {
         sql(
-                v.store.db,
+                v.files.connection,
                 "PRAGMA writable_schema=ON",
                 "BEGIN",
                 "UPDATE sqlite_schema SET rootpage=rootpage+90000 WHERE name IN('self','log')",
@@ -633,16 +641,17 @@
     void aStoreFoundDamagedLaterIsUsedNoMore() throws Exception {
         CountDownLatch broken = new CountDownLatch(1);
         Recorder disk = new Recorder(dir);
-        SqliteVault v = new SqliteVault(disk, Runnable::run, System::nanoTime, log, broken::countDown, () -> {});
-        v.found("abc", List.of(new Entry(1, 0, "first")));
+        SqliteDurableStore v =
+                new SqliteDurableStore(disk, Runnable::run, System::nanoTime, log, broken::countDown, () -> {});
+        v.initialize("abc", List.of(new LogEntry(1, 0, "first")));
         save(v, new Change(2, "x", 3, 0, ENTRIES, null));
-        Saved latest = new Saved(
+        PersistentState latest = new PersistentState(
                 "abc",
                 2,
                 "x",
                 3,
                 null,
-                Stream.concat(Stream.of(new Entry(1, 0, "first")), ENTRIES.stream())
+                Stream.concat(Stream.of(new LogEntry(1, 0, "first")), ENTRIES.stream())
                         .toList());
         Moment whole = disk.acknowledged();
         ruin(v);
@@ -652,7 +661,7 @@
         disk.moments.clear();
         v.save(new Change(3, "y", 4, 0, List.of(), null), () -> said.writeBytes("acknowledged".getBytes()));
         assertTrue(broken.await(120, TimeUnit.SECONDS));
-        assertTrue(v.failing(), "no vote and no lead from here on");
+        assertTrue(v.isFailing(), "no vote and no lead from here on");
         v.save(new Change(4, "y", 4, 0, List.of(), null), () -> said.writeBytes("acknowledged".getBytes()));
         v.close();
         assertFalse(said.toString().contains("acknowledged"));
@@ -670,9 +679,9 @@
         }
         disk.moments.clear();
         v = vault(disk, log);
-        assertEquals(aside, new Seen(v.load(), v.kept(), v.setAside()));
-        v.found("new", List.of());
-        Seen anew = new Seen(new Saved("new", 0, null, 0, null, List.of()), List.of(), true);
+        assertEquals(aside, new Seen(v.load(), v.loadRegisters(), v.hasQuarantinedDatabase()));
+        v.initialize("new", List.of());
+        Seen anew = new Seen(new PersistentState("new", 0, null, 0, null, List.of()), List.of(), true);
         for (Moment m : disk.moments) {
             for (int i = 0; i < 8; i++) {
                 Seen seen = open(m.lose(random));
@@ -702,11 +711,11 @@
                 [limits]
                 memoryMb = 0
                 """ + SimMesh.BOUNDS, "test");
-        SimWorld.Machine m = new SimWorld(1).machine(settings.peer());
-        for (String wanted : List.of(Raft.FOUNDER, Raft.FOUNDER, "fresh")) {
-            SqliteVault v = vault(new Folder(dir), log);
-            HelmCore core = new HelmCore(settings, v, "fresh", m, m, null, Log.silent());
-            assertTrue(core.raft.self().endsWith("#" + wanted), core.raft.self());
+        SimWorld.Machine m = new SimWorld(1).machine(settings.peerAddress());
+        for (String wanted : List.of(RaftNode.FOUNDER_INCARNATION, RaftNode.FOUNDER_INCARNATION, "fresh")) {
+            SqliteDurableStore v = vault(new SyncedDirectory(dir), log);
+            HelmCore core = new HelmCore(settings, v, "fresh", m, m, null, EventLog.silent());
+            assertTrue(core.raft.localId().endsWith("#" + wanted), core.raft.localId());
             v.close();
             if (said.toString().contains("again")) {
                 Loss.HEAD_GONE.damage.to(dir.resolve(DB));
@@ -739,7 +748,7 @@
         "SQLITE_ERROR, false"
     })
     void onlyDamageMakesADiskLost(SQLiteErrorCode code, boolean lost) {
-        assertEquals(lost, SqliteStore.lost(new SQLiteException("x", code)));
+        assertEquals(lost, SqliteDatabaseFiles.isUnusable(new SQLiteException("x", code)));
     }
 
     private enum Hitch {
@@ -774,7 +783,7 @@
             default -> {}
         }
         boolean[] works = new boolean[1];
-        Folder folder = new Folder(dir) {
+        SyncedDirectory folder = new SyncedDirectory(dir) {
             private void check(Hitch at) throws IOException {
                 if (hitch == at && !works[0]) {
                     throw new IOException("No space left on device");
@@ -782,9 +791,9 @@
             }
 
             @Override
-            void make(String name) throws IOException {
+            void createIfAbsent(String name) throws IOException {
                 check(Hitch.FULL_FOR_THE_LOG);
-                super.make(name);
+                super.createIfAbsent(name);
             }
 
             @Override
@@ -807,7 +816,7 @@
         };
         int[] pauses = new int[1];
         Connection holder = other;
-        SqliteVault v = new SqliteVault(folder, Runnable::run, System::nanoTime, log, () -> {}, () -> {
+        SqliteDurableStore v = new SqliteDurableStore(folder, Runnable::run, System::nanoTime, log, () -> {}, () -> {
             if (++pauses[0] < 3) {
                 return;
             }
@@ -828,12 +837,12 @@
         });
         if (founds) {
             assertNull(v.load());
-            v.found("abc", List.of());
+            v.initialize("abc", List.of());
         }
         assertEquals(3, pauses[0]);
         assertEquals("abc", v.load().incarnation());
         assertEquals(founds ? 0 : 4, v.load().entries().size());
-        assertFalse(v.setAside());
+        assertFalse(v.hasQuarantinedDatabase());
         v.close();
         assertEquals(
                 "B501 B502",
@@ -861,27 +870,30 @@
                         "INSERT INTO register VALUES(5,'r','2.b',NULL,NULL)")
                 .to(dir.resolve(DB));
         for (int start = 0; start < 2; start++) {
-            SqliteVault v = vault(new Folder(dir), log);
+            SqliteDurableStore v = vault(new SyncedDirectory(dir), log);
             assertEquals(
-                    new Saved(
+                    new PersistentState(
                             "abc",
                             3,
                             null,
                             8,
                             new Snapshot(7, 2, List.of("m"), "{\"ä\":1}"),
-                            List.of(new Entry(8, 3, "eight"))),
+                            List.of(new LogEntry(8, 3, "eight"))),
                     v.load());
-            assertEquals(List.of(new Kept("r", "2.b", null, null)), v.kept());
-            assertFalse(v.setAside());
+            assertEquals(List.of(new StoredRegister("r", "2.b", null, null)), v.loadRegisters());
+            assertFalse(v.hasQuarantinedDatabase());
             v.close();
         }
-        SqliteVault v = vault(new Folder(dir), log);
-        assertThrows(IllegalStateException.class, () -> v.found("other", List.of()));
-        keep(v, List.of(new Kept("s", "1.a", null, null)));
-        save(v, new Change(4, "y", 8, 0, List.of(new Entry(9, 4, "nine")), null));
+        SqliteDurableStore v = vault(new SyncedDirectory(dir), log);
+        assertThrows(IllegalStateException.class, () -> v.initialize("other", List.of()));
+        keep(v, List.of(new StoredRegister("s", "1.a", null, null)));
+        save(v, new Change(4, "y", 8, 0, List.of(new LogEntry(9, 4, "nine")), null));
         v.close();
-        SqliteVault again = vault(new Folder(dir), log);
-        assertEquals(List.of("r", "s"), again.kept().stream().map(Kept::id).toList(), "numbers go on from the newest");
+        SqliteDurableStore again = vault(new SyncedDirectory(dir), log);
+        assertEquals(
+                List.of("r", "s"),
+                again.loadRegisters().stream().map(StoredRegister::registerId).toList(),
+                "numbers go on from the newest");
         assertEquals(9, again.load().entries().get(1).index());
         again.close();
     }
@@ -902,11 +914,11 @@
             disk.synced.put(f.getKey(), f.getValue());
             disk.names.add(f.getKey());
         }
-        SqliteVault v = vault(disk, log);
+        SqliteDurableStore v = vault(disk, log);
         Seen empty = new Seen(null, List.of(), false);
-        assertEquals(empty, new Seen(v.load(), v.kept(), v.setAside()));
-        v.found("abc", List.of());
-        Seen founded = new Seen(new Saved("abc", 0, null, 0, null, List.of()), List.of(), false);
+        assertEquals(empty, new Seen(v.load(), v.loadRegisters(), v.hasQuarantinedDatabase()));
+        v.initialize("abc", List.of());
+        Seen founded = new Seen(new PersistentState("abc", 0, null, 0, null, List.of()), List.of(), false);
         Random random = new Random(tables);
         for (Moment m : disk.moments) {
             for (int i = 0; i < 4; i++) {
