--- a/src/main/java/bramblespool/coordination/Terms.java
+++ b/src/main/java/bramblespool/coordination/configuration/TermGuard.java
@@ -1,4 +1,4 @@
-package bramblespool.coordination;
+package bramblespool.coordination.configuration;
 
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
@@ -8,59 +8,59 @@
  * The highest term that this daemon has heard of a leader in, and the last round of phases of that leader's. What was said
  * in a lower term, or in an earlier round, is late and refused: whoever leads now says what holds.
  */
-final class Terms {
+public final class TermGuard {
     private final EventLog log;
-    private long highest;
-    private long round;
+    private long highestTerm;
+    private long lastRound;
 
-    Terms(EventLog log) {
+    public TermGuard(EventLog log) {
         this.log = log;
     }
 
-    long highest() {
-        return highest;
+    public long highestTerm() {
+        return highestTerm;
     }
 
     /** Somebody has led in this term. */
-    void heard(long term) {
-        if (term > highest) {
-            highest = term;
-            round = 0;
+    public void observeTerm(long term) {
+        if (term > highestTerm) {
+            highestTerm = term;
+            lastRound = 0;
         }
     }
 
     /** Takes note of what a leader says; false where that is late. */
-    boolean take(String kind, JsonNode m) {
-        long term = m.path("term").asLong();
-        long in = m.path("round").asLong();
-        heard(term);
-        if (term < highest) {
+    public boolean acceptMessage(String kind, JsonNode request) {
+        long term = request.path("term").asLong();
+        long messageRound = request.path("round").asLong();
+        observeTerm(term);
+        if (term < highestTerm) {
             log.log(
                     Event.STALE_TERM_REJECTED,
                     "kind",
                     kind,
                     "phase",
-                    m.path("phase").asInt(),
+                    request.path("phase").asInt(),
                     "term",
                     term,
                     "knownTerm",
-                    highest);
+                    highestTerm);
             return false;
         }
-        if (in < round) {
+        if (messageRound < lastRound) {
             log.log(
                     Event.STALE_ROUND_REJECTED,
                     "kind",
                     kind,
                     "phase",
-                    m.path("phase").asInt(),
+                    request.path("phase").asInt(),
                     "round",
-                    in,
+                    messageRound,
                     "knownRound",
-                    round);
+                    lastRound);
             return false;
         }
-        round = in;
+        lastRound = messageRound;
         return true;
     }
 }
--- /dev/null
+++ b/src/main/java/bramblespool/coordination/discovery/BalancedAssignment.java
@@ -0,0 +1,96 @@
+package bramblespool.coordination.discovery;
+
+import bramblespool.coordination.hashing.RendezvousHash;
+import bramblespool.protocol.Listing;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+
+/** Spreads servers evenly over stewards, each service for itself and all together, moving no more than that takes. */
+final class BalancedAssignment {
+    private final Map<String, Integer> totalCounts = new HashMap<>();
+    private final Map<String, Map<String, Integer>> countsByService = new HashMap<>();
+    private final Collection<String> gateways;
+
+    private BalancedAssignment(Collection<String> gateways) {
+        this.gateways = gateways;
+    }
+
+    /** Completes and evens out an assignment of server ids to stewards. Servers about to leave stay where they are. */
+    static void balance(
+            Collection<Listing.Entry> servers, Collection<String> candidates, Map<String, String> gatewayByServer) {
+        BalancedAssignment assignment = new BalancedAssignment(new TreeSet<>(candidates));
+        List<Listing.Entry> movable = new ArrayList<>();
+        List<Listing.Entry> unassigned = new ArrayList<>();
+        for (Listing.Entry server : servers) {
+            String currentGateway = gatewayByServer.get(server.id());
+            if (currentGateway == null) {
+                unassigned.add(server);
+            } else if (!server.draining()) {
+                assignment.adjustCount(server.target(), currentGateway, 1);
+            }
+            if (!server.draining()) {
+                movable.add(server);
+            }
+        }
+        unassigned.sort(Comparator.comparing(Listing.Entry::id));
+        movable.sort(Comparator.comparing(Listing.Entry::id));
+        for (Listing.Entry server : unassigned) {
+            String newGateway = assignment.leastLoaded(server);
+            gatewayByServer.put(server.id(), newGateway);
+            if (!server.draining()) {
+                assignment.adjustCount(server.target(), newGateway, 1);
+            }
+        }
+        for (Listing.Entry server : movable) {
+            String currentGateway = gatewayByServer.get(server.id());
+            String newGateway = assignment.leastLoaded(server);
+            int serviceDifference = assignment.serviceCount(server.target(), currentGateway)
+                    - assignment.serviceCount(server.target(), newGateway);
+            int totalDifference = assignment.totalCount(currentGateway) - assignment.totalCount(newGateway);
+            if (serviceDifference >= 2 && totalDifference >= 0 || serviceDifference >= 1 && totalDifference >= 2) {
+                assignment.adjustCount(server.target(), currentGateway, -1);
+                assignment.adjustCount(server.target(), newGateway, 1);
+                gatewayByServer.put(server.id(), newGateway);
+            }
+        }
+    }
+
+    private void adjustCount(String service, String gateway, int delta) {
+        totalCounts.merge(gateway, delta, Integer::sum);
+        countsByService.computeIfAbsent(service, t -> new HashMap<>()).merge(gateway, delta, Integer::sum);
+    }
+
+    private int serviceCount(String service, String gateway) {
+        return countsByService.getOrDefault(service, Map.of()).getOrDefault(gateway, 0);
+    }
+
+    private int totalCount(String gateway) {
+        return totalCounts.getOrDefault(gateway, 0);
+    }
+
+    /** Who has the fewest of the service, then the fewest of all, then is first in line for the server. */
+    private String leastLoaded(Listing.Entry server) {
+        String best = null;
+        for (String gateway : gateways) {
+            if (best == null || compareLoad(server, gateway, best) < 0) {
+                best = gateway;
+            }
+        }
+        return best;
+    }
+
+    private int compareLoad(Listing.Entry server, String left, String right) {
+        int order = Integer.compare(serviceCount(server.target(), left), serviceCount(server.target(), right));
+        if (order == 0) {
+            order = Integer.compare(totalCount(left), totalCount(right));
+        }
+        return order != 0
+                ? order
+                : Long.compare(RendezvousHash.weight(server.id(), right), RendezvousHash.weight(server.id(), left));
+    }
+}
--- a/src/main/java/bramblespool/role/Courier.java
+++ b/src/main/java/bramblespool/role/Courier.java
@@ -1,7 +1,7 @@
 package bramblespool.role;
 
-import bramblespool.coordination.Gate;
-import bramblespool.coordination.Tally;
+import bramblespool.coordination.singleton.UsageCounter;
+import bramblespool.coordination.traffic.ServerAdmission;
 import bramblespool.protocol.Names;
 import bramblespool.protocol.Verdict;
 import bramblespool.state.RoutingConfiguration;
@@ -53,13 +53,13 @@
 
     private final Clock clock;
     private final Upstream upstream;
-    private final Tally tally;
+    private final UsageCounter tally;
     private final long connectMs;
     /** How long an idle connection to a server is used again, as far as servers have told. */
     private long idleMs;
 
     /** {@code tally}: counts what begins to run for each tenant; null where nobody wants to know. */
-    Courier(Clock clock, Upstream upstream, Tally tally, long connectMs, long idleMs) {
+    Courier(Clock clock, Upstream upstream, UsageCounter tally, long connectMs, long idleMs) {
         this.clock = clock;
         this.upstream = upstream;
         this.tally = tally;
@@ -80,25 +80,25 @@
         return new Upstream.Request(p.method, p.target, headers, p.body);
     }
 
-    void serve(Gate gate, Parcel p, RoutingConfiguration.Route route, int rank, Taker taker) {
+    void serve(ServerAdmission gate, Parcel p, RoutingConfiguration.Route route, int rank, Taker taker) {
         Run run = new Run(gate, p, taker);
-        run.ticket = gate.offer(
+        run.ticket = gate.admit(
                 route.name(),
                 rank,
                 route.latencyTargetMs(),
                 p.deadline,
                 run::go,
-                r -> taker.take(Result.neverRan(r.why(), r.retryMs(), false), null));
+                r -> taker.take(Result.neverRan(r.reason(), r.retryAfterMs(), false), null));
         if (run.early) {
             run.send();
         }
     }
 
     private final class Run implements Upstream.Receiver {
-        private final Gate gate;
+        private final ServerAdmission gate;
         private final Parcel parcel;
         private final Taker taker;
-        private Gate.Ticket ticket;
+        private ServerAdmission.AdmissionTicket ticket;
         private boolean early;
         private Upstream.Call call;
         private Clock.Timer patience;
@@ -107,7 +107,7 @@
         private String tenant;
         private long window;
 
-        Run(Gate gate, Parcel parcel, Taker taker) {
+        Run(ServerAdmission gate, Parcel parcel, Taker taker) {
             this.gate = gate;
             this.parcel = parcel;
             this.taker = taker;
@@ -122,10 +122,10 @@
         }
 
         private void send() {
-            server = ticket.server();
+            server = ticket.serverId();
             long left = parcel.deadline - clock.now();
             if (left <= 0) {
-                ticket.done(false);
+                ticket.release(false);
                 taker.take(Result.neverRan("late", 0, false), null);
                 return;
             }
@@ -143,7 +143,7 @@
             });
             tenant = tally == null ? null : parcel.headers.getFirst(Names.TENANT);
             if (tenant != null) {
-                window = tally.begin(tenant);
+                window = tally.recordRun(tenant);
             }
             call = upstream.send(
                     gate.address(), new Upstream.Manner(connectMs, idleMs, BUFFERED), request(parcel, headers), this);
@@ -156,15 +156,15 @@
             over = true;
             patience.cancel();
             if (tenant != null && r.verdict() == Verdict.NEVER_RAN) {
-                tally.undo(tenant, window);
+                tally.undoRun(tenant, window);
             }
             if (r.verdict() == Verdict.MAY_HAVE_RUN) {
-                ticket.outcome(false);
+                ticket.recordOutcome(false);
             } else if (r.verdict() == Verdict.ANSWERED && r.answer().code() != 504) {
-                ticket.outcome(r.answer().code() < 500);
+                ticket.recordOutcome(r.answer().code() < 500);
             }
             if (ending == null) {
-                ticket.done(worked);
+                ticket.release(worked);
             }
             taker.take(r, ending);
         }
@@ -182,7 +182,7 @@
                 end(Result.mayHaveRun("an answer to another request"), false, null);
             } else if (a.code() == 421) {
                 call.spoil();
-                gate.unreachable(server);
+                gate.markUnreachable(server);
                 end(Result.neverRan("none", 0, false), false, null);
             } else if (a.headers().contains(Names.NOT_RUN)) {
                 if (!a.body().whole()) {
@@ -194,7 +194,7 @@
             } else {
                 end(new Result(Verdict.ANSWERED, a, null, 0, true), true, whole -> {
                     call.finished(whole);
-                    ticket.done(false);
+                    ticket.release(false);
                 });
             }
         }
@@ -202,7 +202,7 @@
         @Override
         public void failed(Upstream.Reach reach, String cause) {
             if (reach == Upstream.Reach.UNSENT) {
-                gate.unreachable(server);
+                gate.markUnreachable(server);
                 end(Result.neverRan("none", 0, false), false, null);
             } else {
                 end(Result.mayHaveRun(cause), false, null);
--- a/src/main/java/bramblespool/role/Exchanges.java
+++ b/src/main/java/bramblespool/role/Exchanges.java
@@ -1,6 +1,6 @@
 package bramblespool.role;
 
-import bramblespool.coordination.Operations;
+import bramblespool.coordination.tenancy.IdempotencyTable;
 import bramblespool.protocol.Names;
 import bramblespool.transport.Stream;
 import bramblespool.transport.Upstream;
@@ -94,7 +94,7 @@
     }
 
     /** An answer as it is kept for repeats; null where it was too large to be held whole. */
-    static Operations.Answer kept(Upstream.Answer a) {
+    static IdempotencyTable.StoredResponse kept(Upstream.Answer a) {
         if (!a.body().whole()) {
             return null;
         }
@@ -106,17 +106,17 @@
                 v.forEach(one -> flat.addAll(List.of(v.getHeaderName().toString(), one)));
             }
         }
-        return new Operations.Answer(a.code(), flat, a.body().head());
+        return new IdempotencyTable.StoredResponse(a.code(), flat, a.body().head());
     }
 
     /** Answers a repeat as the first was answered; only the try it names is this one. */
-    static void repeat(HttpServerExchange x, Operations.Answer a) {
+    static void repeat(HttpServerExchange x, IdempotencyTable.StoredResponse a) {
         HeaderMap to = x.getResponseHeaders();
         for (int i = 0; i + 1 < a.headers().size(); i += 2) {
             to.add(new HttpString(a.headers().get(i)), a.headers().get(i + 1));
         }
         to.put(Names.ATTEMPT, x.getRequestHeaders().getFirst(Names.ATTEMPT));
-        x.setStatusCode(a.code());
+        x.setStatusCode(a.statusCode());
         if (a.body().length == 0) {
             x.endExchange();
         } else {
--- a/src/main/java/bramblespool/role/Helm.java
+++ b/src/main/java/bramblespool/role/Helm.java
@@ -1,6 +1,6 @@
 package bramblespool.role;
 
-import bramblespool.coordination.HelmCore;
+import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.protocol.Beat;
 import bramblespool.protocol.Orders;
 import bramblespool.state.CompressedDocument;
@@ -32,7 +32,7 @@
     private static final int IDLE_MS = 60_000;
 
     private final Loop loop;
-    private final HelmCore core;
+    private final ControllerNode core;
     private final Ports ports;
     private final SqliteDurableStore vault;
     private final long retryMs;
@@ -51,7 +51,7 @@
                 ? new HttpPlatform(
                         loop, upstream, s.platformAddress(), s.bounds().drainMs() / 8)
                 : null;
-        core = new HelmCore(s, vault, Long.toHexString(new SecureRandom().nextLong()), loop, wire, platform, log);
+        core = new ControllerNode(s, vault, Long.toHexString(new SecureRandom().nextLong()), loop, wire, platform, log);
         wire.serve(core);
         var bounds = Ports.bounds(64 << 10, HttpWire.LARGEST, IDLE_MS, IDLE_MS);
         ports.listen(s.peerAddress(), wire, bounds);
@@ -111,7 +111,7 @@
             x.setPersistent(false);
             Exchanges.json(x, 413, error("too large"));
         } else if (path.equals(CONFIG + "read")) {
-            core.read(v -> {
+            core.readConfiguration(v -> {
                 if (v == null) {
                     refuse(x, "no quorum");
                 } else if (v.compressedDocument() == null) {
@@ -155,7 +155,7 @@
             Exchanges.json(x, 400, error(e.getMessage()));
             return;
         }
-        core.change(change, o -> {
+        core.submitChange(change, o -> {
             if (o.status() == 503) {
                 refuse(x, o.word());
             } else if (o.status() == 200) {
@@ -181,7 +181,7 @@
 
     @Override
     public void settings(Settings fresh) {
-        core.settings(fresh);
+        core.updateSettings(fresh);
     }
 
     @Override
@@ -192,7 +192,7 @@
     }
 
     private void finish(long until, Runnable stopped) {
-        if (held == 0 && core.left() || loop.now() >= until) {
+        if (held == 0 && core.hasLeft() || loop.now() >= until) {
             core.stop();
             ports.close();
             vault.close();
--- a/src/main/java/bramblespool/role/Inbound.java
+++ b/src/main/java/bramblespool/role/Inbound.java
@@ -1,8 +1,8 @@
 package bramblespool.role;
 
-import bramblespool.coordination.Gate;
-import bramblespool.coordination.Gates;
-import bramblespool.coordination.Shadow;
+import bramblespool.coordination.configuration.ShadowCommitParticipant;
+import bramblespool.coordination.traffic.ServerAdmission;
+import bramblespool.coordination.traffic.ServerAdmissions;
 import bramblespool.protocol.Names;
 import bramblespool.protocol.Verdict;
 import bramblespool.state.RoutingConfiguration;
@@ -20,8 +20,8 @@
 /** Calls from other daemons of the data plane: the mark chooses the version, the gate decides, the courier carries. */
 final class Inbound implements HttpHandler {
     private final Clock clock;
-    private final Shadow shadow;
-    private final Gates gates;
+    private final ShadowCommitParticipant shadow;
+    private final ServerAdmissions gates;
     private final Courier courier;
     private final ByteBufferPool buffers;
     /** The one service of this machine's server, or null where there are several: callers name the one they want. */
@@ -32,8 +32,8 @@
 
     Inbound(
             Clock clock,
-            Shadow shadow,
-            Gates gates,
+            ShadowCommitParticipant shadow,
+            ServerAdmissions gates,
             Courier courier,
             ByteBufferPool buffers,
             String target,
@@ -50,28 +50,34 @@
     }
 
     /** The route under which the request may be handed to a server of the service, and its gate; or why not. */
-    record Way(RoutingConfiguration.Route route, int rank, Gate gate, String why) {
+    record Way(RoutingConfiguration.Route route, int rank, ServerAdmission gate, String why) {
         private static Way no(String why) {
             return new Way(null, 0, null, why);
         }
 
-        static Way of(Shadow shadow, Gates gates, String mark, HeaderMap headers, String path, String target) {
+        static Way of(
+                ShadowCommitParticipant shadow,
+                ServerAdmissions gates,
+                String mark,
+                HeaderMap headers,
+                String path,
+                String target) {
             if (target == null) {
                 return no("none");
             }
-            Shadow.Choice choice = shadow.resolve(mark);
+            ShadowCommitParticipant.ResolvedVersion choice = shadow.resolve(mark);
             if (choice == null) {
                 return no("mark");
             }
-            if (choice.test()) {
+            if (choice.isShadow()) {
                 return no("test");
             }
-            RoutingConfiguration.Route route = choice.config().route(headers.getFirst(Headers.HOST), path);
+            RoutingConfiguration.Route route = choice.configuration().route(headers.getFirst(Headers.HOST), path);
             if (route == null || !route.routesTo(target)) {
                 return no("route");
             }
-            Gate gate = gates.pick(target);
-            int rank = choice.config().priority(route, headers.getFirst(Names.TENANT));
+            ServerAdmission gate = gates.leastLoaded(target);
+            int rank = choice.configuration().priority(route, headers.getFirst(Names.TENANT));
             return gate == null ? no("none") : new Way(route, rank, gate, null);
         }
     }
--- a/src/main/java/bramblespool/role/Outbound.java
+++ b/src/main/java/bramblespool/role/Outbound.java
@@ -1,13 +1,13 @@
 package bramblespool.role;
 
-import bramblespool.coordination.Admission;
-import bramblespool.coordination.Budget;
-import bramblespool.coordination.Entry;
-import bramblespool.coordination.Fleet;
-import bramblespool.coordination.Gates;
-import bramblespool.coordination.Operations;
-import bramblespool.coordination.Shadow;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.configuration.ShadowCommitParticipant;
+import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.coordination.membership.EndpointDirectory;
+import bramblespool.coordination.tenancy.AdmissionClient;
+import bramblespool.coordination.tenancy.IdempotencyTable;
+import bramblespool.coordination.tenancy.RequestAdmission;
+import bramblespool.coordination.traffic.RetryBudget;
+import bramblespool.coordination.traffic.ServerAdmissions;
 import bramblespool.protocol.Names;
 import bramblespool.protocol.Verdict;
 import bramblespool.state.EventLog;
@@ -41,14 +41,14 @@
     private static final int ADMIT_PART = 2;
 
     private final Clock clock;
-    private final Shadow shadow;
-    private final Fleet fleet;
-    private final Gates gates;
-    private final Budget budget;
+    private final ShadowCommitParticipant shadow;
+    private final EndpointDirectory fleet;
+    private final ServerAdmissions gates;
+    private final RetryBudget budget;
     private final Courier courier;
-    private final Entry entry;
-    private final Admission admission;
-    private final Operations operations;
+    private final RequestAdmission entry;
+    private final AdmissionClient admission;
+    private final IdempotencyTable operations;
     private final Upstream upstream;
     private final ByteBufferPool buffers;
     private final String node;
@@ -63,14 +63,14 @@
 
     /** Who is told when a call to a peer has been waiting, failed, or been refused for its mark. */
     interface Doubts {
-        void silent(Fleet.Peer p);
+        void silent(EndpointDirectory.Proxy p);
 
         void behind();
     }
 
     Outbound(
             Clock clock,
-            WeftCore core,
+            DataPlaneNode core,
             Courier courier,
             Upstream upstream,
             ByteBufferPool buffers,
@@ -80,13 +80,13 @@
             Doubts doubts,
             EventLog log) {
         this.clock = clock;
-        this.shadow = core.shadow;
-        this.fleet = core.fleet;
-        this.gates = core.gates;
-        this.budget = core.budget;
-        this.admission = core.admission;
-        this.operations = core.operations;
-        this.entry = new Entry(core, log);
+        this.shadow = core.shadowCommit;
+        this.fleet = core.endpointDirectory;
+        this.gates = core.admissions;
+        this.budget = core.retryBudget;
+        this.admission = core.admissionClient;
+        this.operations = core.idempotencyTable;
+        this.entry = new RequestAdmission(core, log);
         this.courier = courier;
         this.upstream = upstream;
         this.buffers = buffers;
@@ -131,7 +131,7 @@
             Exchanges.sayAndClose(x, 400, "bad " + Names.DEADLINE);
             return;
         }
-        RoutingConfiguration config = shadow.real();
+        RoutingConfiguration config = shadow.realConfiguration();
         if (config == null) {
             Exchanges.comeBack(x, manner.connectMs(), "no configuration yet");
             return;
@@ -180,7 +180,7 @@
             Exchanges.comeBack(x, RETRY_MS, "no share");
             return;
         }
-        budget.request(service);
+        budget.onRequest(service);
         Passage p = new Passage(x, config, route, tenant, service, clock.now() + patience);
         Stream.read(x.getRequestChannel(), buffers, Courier.BUFFERED, p::begin, e -> x.endExchange());
     }
@@ -213,15 +213,15 @@
     }
 
     /** One request on its way. */
-    private final class Passage implements Entry.Taker {
+    private final class Passage implements RequestAdmission.AdmissionHandler {
         private final HttpServerExchange x;
         private final RoutingConfiguration config;
         private final RoutingConfiguration.Route route;
         private final RoutingConfiguration.Tenant tenant;
         private final String service;
         private final long deadline;
-        private final String mark = shadow.mark();
-        private final Set<Fleet.Door> shown = new HashSet<>();
+        private final String mark = shadow.currentMark();
+        private final Set<EndpointDirectory.Endpoint> shown = new HashSet<>();
         private Courier.Parcel parcel;
         private Clock.Timer end;
         private int arrivals;
@@ -230,7 +230,7 @@
         private boolean over;
         private boolean mayHaveRun;
         /** What its key stands for, where it has one and the claim was won. */
-        private Operations.Operation operation;
+        private IdempotencyTable.Operation operation;
 
         Passage(
                 HttpServerExchange x,
@@ -258,7 +258,7 @@
                     deadline);
             end = clock.after(Math.max(1, deadline - clock.now()), this::tooLate);
             long left = deadline - clock.now();
-            entry.enter(
+            entry.admit(
                     who(body),
                     Math.max(
                             1,
@@ -266,20 +266,20 @@
                     this);
         }
 
-        private Entry.Who who(Stream.Body body) {
+        private RequestAdmission.AdmissionRequest who(Stream.Body body) {
             RoutingConfiguration.Tenant limited = tenant != null && tenant.ratePerSecond() > 0 ? tenant : null;
             String name = tenant == null ? "" : tenant.name();
             if (!route.isKeyed()) {
-                return new Entry.Who(name, limited, config.epoch, null, 0);
+                return new RequestAdmission.AdmissionRequest(name, limited, config.epoch, null, 0);
             }
             // Without a tenant a key is one among those of the service that calls.
             String holder = tenant == null ? "~" + target : name;
-            return new Entry.Who(
+            return new RequestAdmission.AdmissionRequest(
                     holder,
                     limited,
                     config.epoch,
-                    admission.register(holder, x.getRequestHeaders().getFirst(Names.OPERATION)),
-                    admission.print(
+                    admission.registerId(holder, x.getRequestHeaders().getFirst(Names.OPERATION)),
+                    admission.fingerprint(
                             x.getRequestMethod().toString(),
                             x.getRequestHeaders().getFirst(Headers.HOST),
                             Exchanges.target(x),
@@ -287,7 +287,7 @@
         }
 
         @Override
-        public void go(Operations.Operation claimed) {
+        public void proceed(IdempotencyTable.Operation claimed) {
             operation = claimed;
             if (over) {
                 settle(Verdict.NEVER_RAN, null);
@@ -297,7 +297,7 @@
         }
 
         @Override
-        public void refuse(int status, long retryMs, String why) {
+        public void reject(int status, long retryMs, String why) {
             if (over) {
                 return;
             }
@@ -310,7 +310,7 @@
         }
 
         @Override
-        public void answer(Operations.Answer a) {
+        public void replay(IdempotencyTable.StoredResponse a) {
             if (over) {
                 return;
             }
@@ -325,11 +325,11 @@
                 return;
             }
             if (v == Verdict.ANSWERED) {
-                operations.answered(operation, Exchanges.kept(a));
+                operations.recordResponse(operation, Exchanges.kept(a));
             } else if (v == Verdict.NEVER_RAN || dedups()) {
-                operations.idle(operation);
+                operations.markIdle(operation);
             } else {
-                operations.unknown(operation);
+                operations.markUnknown(operation);
             }
         }
 
@@ -352,13 +352,13 @@
         }
 
         private void next() {
-            Fleet.Door d = shown.size() < GATES ? fleet.choose(service, shown) : null;
+            EndpointDirectory.Endpoint d = shown.size() < GATES ? fleet.chooseEndpoint(service, shown) : null;
             if (d == null) {
                 giveUp(retryMs > 0 ? retryMs : RETRY_MS + (long) (clock.chance() * RETRY_MS), "no server can take it");
                 return;
             }
             shown.add(d);
-            fleet.sending(d);
+            fleet.onRequestStarted(d);
             current = new Send(d);
             current.start();
         }
@@ -402,7 +402,7 @@
                     "route",
                     route.name(),
                     "endpoint",
-                    send.door.at.node,
+                    send.door.proxy.node,
                     "outcome",
                     r.verdict(),
                     "cause",
@@ -410,7 +410,7 @@
             boolean again = parcel.body().whole()
                     && (r.verdict() == Verdict.NEVER_RAN || route.isIdempotent())
                     && deadline - clock.now() > LEAST_MS
-                    && (!r.arrived() || arrivals < route.maxAttempts() && budget.draw(service, clock.now()));
+                    && (!r.arrived() || arrivals < route.maxAttempts() && budget.tryAcquire(service, clock.now()));
             if (again) {
                 next();
                 return;
@@ -432,17 +432,17 @@
 
         /** One send to one gate. */
         private final class Send implements Upstream.Receiver {
-            private final Fleet.Door door;
+            private final EndpointDirectory.Endpoint door;
             private Upstream.Call call;
             private Clock.Timer watch;
             private boolean counted = true;
 
-            Send(Fleet.Door door) {
+            Send(EndpointDirectory.Endpoint door) {
                 this.door = door;
             }
 
             void start() {
-                if (door.at.node.equals(node)) {
+                if (door.proxy.node.equals(node)) {
                     Inbound.Way way =
                             Inbound.Way.of(shadow, gates, mark, x.getRequestHeaders(), Exchanges.path(x), service);
                     if (way.gate() == null) {
@@ -450,7 +450,7 @@
                         return;
                     }
                     courier.serve(way.gate(), parcel, way.route(), way.rank(), (r, ending) -> {
-                        fleet.report(door, gates.load(service));
+                        fleet.recordLoad(door, gates.load(service));
                         finish(r, ending);
                     });
                     return;
@@ -465,19 +465,19 @@
                 headers.put(Names.MARK, mark);
                 headers.put(Names.FROM, node);
                 watch();
-                call = upstream.send(door.at.inbound, manner, Courier.request(parcel, headers), this);
+                call = upstream.send(door.proxy.inboundAddress, manner, Courier.request(parcel, headers), this);
             }
 
             /** A call that waits long asks whether its peer is still there. */
             private void watch() {
                 watch = clock.after(manner.connectMs(), () -> {
-                    if (fleet.suspected(door.at) && mayRepeat()) {
+                    if (fleet.isSuspected(door.proxy) && mayRepeat()) {
                         call.drop();
                         finish(Courier.Result.mayHaveRun("the peer is silent"), null);
                         return;
                     }
-                    if (clock.now() - door.at.heard > manner.connectMs()) {
-                        doubts.silent(door.at);
+                    if (clock.now() - door.proxy.lastHeardMs > manner.connectMs()) {
+                        doubts.silent(door.proxy);
                     }
                     watch();
                 });
@@ -489,7 +489,7 @@
                         && parcel.body().whole()
                         && arrivals + 1 < route.maxAttempts()
                         && shown.size() < GATES
-                        && budget.holds(service, clock.now())
+                        && budget.hasRetry(service, clock.now())
                         && deadline - clock.now() > LEAST_MS;
             }
 
@@ -504,7 +504,7 @@
                 }
                 if (counted) {
                     counted = false;
-                    fleet.ended(door);
+                    fleet.onRequestEnded(door);
                 }
             }
 
@@ -521,13 +521,13 @@
                 if (!Exchanges.answers(parcel.attempt(), a.headers())) {
                     // Whatever it says, it says of another request, a refusal as much as a success.
                     call.spoil();
-                    upstream.forget(door.at.inbound);
+                    upstream.forget(door.proxy.inboundAddress);
                     finish(Courier.Result.mayHaveRun("an answer to another request"), null);
                     return;
                 }
                 String load = a.headers().getFirst(Names.LOAD);
                 if (load != null && load.length() < 6) {
-                    fleet.report(door, Integer.parseInt(load));
+                    fleet.recordLoad(door, Integer.parseInt(load));
                 }
                 Verdict v = Verdict.of(a.headers().getFirst(Names.VERDICT));
                 if (v == Verdict.ANSWERED) {
@@ -563,8 +563,8 @@
 
             @Override
             public void failed(Upstream.Reach reach, String cause) {
-                fleet.suspect(door.at);
-                upstream.forget(door.at.inbound);
+                fleet.markSuspected(door.proxy);
+                upstream.forget(door.proxy.inboundAddress);
                 finish(
                         reach == Upstream.Reach.UNSENT
                                 ? Courier.Result.neverRan(cause, 0, false)
--- a/src/main/java/bramblespool/role/Side.java
+++ b/src/main/java/bramblespool/role/Side.java
@@ -1,7 +1,7 @@
 package bramblespool.role;
 
-import bramblespool.coordination.Fleet;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.state.RoutingConfiguration;
@@ -32,7 +32,7 @@
     final Loop loop;
     final EventLog log;
     final Settings settings;
-    final WeftCore core;
+    final DataPlaneNode core;
     final Ports ports;
     final Upstream upstream;
     private final Outbound outbound;
@@ -51,9 +51,9 @@
         ports = new Ports(loop, log);
         upstream = new Upstream(loop, ports.buffers());
         HttpWire wire = new HttpWire(loop, upstream, ports.buffers(), PEER_IDLE_MS / 2, log);
-        core = new WeftCore(s, loop, wire, log);
+        core = new DataPlaneNode(s, loop, wire, log);
         wire.serve(core);
-        Courier courier = new Courier(loop, upstream, core.tally, connectMs, b.quietPeriodMs());
+        Courier courier = new Courier(loop, upstream, core.usageCounter, connectMs, b.quietPeriodMs());
         outbound = new Outbound(
                 loop,
                 core,
@@ -65,18 +65,25 @@
                 new Upstream.Manner(connectMs, PEER_IDLE_MS / 2, Courier.BUFFERED),
                 new Outbound.Doubts() {
                     @Override
-                    public void silent(Fleet.Peer p) {
-                        core.ask(p);
+                    public void silent(EndpointDirectory.Proxy p) {
+                        core.ping(p);
                     }
 
                     @Override
                     public void behind() {
-                        core.behind();
+                        core.onVersionMismatch();
                     }
                 },
                 log);
-        Inbound inbound =
-                new Inbound(loop, core.shadow, core.gates, courier, ports.buffers(), target, core::marked, core::gone);
+        Inbound inbound = new Inbound(
+                loop,
+                core.shadowCommit,
+                core.admissions,
+                courier,
+                ports.buffers(),
+                target,
+                core::onCallerTag,
+                core::hasLeft);
         ports.listen(s.peerAddress(), wire, peerBounds());
         ports.listen(s.inboundAddress(), inbound, Ports.bounds(CLIENT_HEADER, -1, PEER_IDLE_MS, PEER_IDLE_MS));
         ports.listen(s.readinessAddress(), this::readiness, peerBounds());
@@ -105,7 +112,7 @@
      * whenever the connection came.
      */
     private void client(HttpServerExchange x) throws Exception {
-        RoutingConfiguration config = core.shadow.real();
+        RoutingConfiguration config = core.shadowCommit.realConfiguration();
         if (config != null) {
             x.setMaxEntitySize(config.limits.bodyBytes());
             resting.bound(config.limits.idleTimeoutMs());
@@ -133,7 +140,7 @@
      * that come from now on.
      */
     private void watch() {
-        RoutingConfiguration c = core.shadow.real();
+        RoutingConfiguration c = core.shadowCommit.realConfiguration();
         if (c != null && !c.limits.equals(limits)) {
             limits = c.limits;
             clients.setUndertowOptions(clientBounds());
@@ -142,7 +149,7 @@
         if (c != null) {
             configured(c);
         }
-        if (core.ready() && !said) {
+        if (core.isReady() && !said) {
             said = true;
             log.log(Event.READY, "epoch", c.epoch);
         }
@@ -157,20 +164,20 @@
         } else if (!x.getRequestMethod().equals(Methods.GET)) {
             x.setStatusCode(405);
         } else {
-            x.setStatusCode(core.ready() ? 200 : 503);
+            x.setStatusCode(core.isReady() ? 200 : 503);
         }
     }
 
     @Override
     public void settings(Settings fresh) {
-        core.settings(fresh);
+        core.updateSettings(fresh);
     }
 
     /** Not ready at once; goes on serving who still comes, and its servers with it; then finishes what it holds. */
     @Override
     public void stop(long grace, Runnable stopped) {
         outbound.stopping();
-        core.retire(grace * 2 / 5);
+        core.shutDownGracefully(grace * 2 / 5);
         loop.after(grace * 2 / 5, () -> {
             ports.close();
             long until = loop.now() + grace * 2 / 5;
@@ -179,7 +186,7 @@
     }
 
     private void finish(long until, Runnable stopped) {
-        if (outbound.held() == 0 && core.gates.load() == 0 || loop.now() >= until) {
+        if (outbound.held() == 0 && core.admissions.load() == 0 || loop.now() >= until) {
             // Nothing more is read from them, so that nothing is read and left without an answer.
             resting.close();
             stopped.run();
--- a/src/main/java/bramblespool/role/Weft.java
+++ b/src/main/java/bramblespool/role/Weft.java
@@ -34,7 +34,7 @@
     void configured(RoutingConfiguration c) {
         if (!probed) {
             probed = true;
-            if (core.gate.id() == null && !settings.isBootstrap()) {
+            if (core.serverAdmission.serverId() == null && !settings.isBootstrap()) {
                 probe(c);
             }
         }
@@ -61,9 +61,9 @@
                         timer.cancel();
                         String id = a.headers().getFirst(Names.INSTANCE_ID);
                         if (a.code() == 200 && id != null) {
-                            core.gate.probed(
+                            core.serverAdmission.onHealthCheck(
                                     id,
-                                    core.fleet.capacityOf(settings.serviceName(), FIRST_SLOTS),
+                                    core.endpointDirectory.smallestCapacity(settings.serviceName(), FIRST_SLOTS),
                                     Math.max(0, Exchanges.number(a.headers().getFirst(Names.WARMUP))));
                         }
                     }
@@ -84,7 +84,7 @@
         } else if (!x.getRequestMethod().equals(Methods.POST)) {
             x.setStatusCode(405);
         } else if (leave != null) {
-            core.gate.leave(leave);
+            core.serverAdmission.onServerLeft(leave);
             Exchanges.json(x, 200, "{}");
         } else {
             x.dispatch(
@@ -105,7 +105,7 @@
         }
         String no;
         try {
-            no = core.beat(Beat.read(id, body.head()));
+            no = core.onHeartbeat(Beat.read(id, body.head()));
         } catch (RoutingConfiguration.InvalidConfigurationException e) {
             no = e.getMessage();
         }
--- a/src/test/java/bramblespool/Capacity.java
+++ b/src/test/java/bramblespool/Capacity.java
@@ -1,7 +1,7 @@
 package bramblespool;
 
-import bramblespool.coordination.Admission;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.coordination.tenancy.AdmissionClient;
 import bramblespool.protocol.Orders;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
@@ -143,17 +143,17 @@
             int n = 4000;
             int[] gone = new int[1];
             for (int i = 0; i < n; i++) {
-                WeftCore side = mesh.wefts.get(SimMesh.weftPeer(i % sides));
+                DataPlaneNode side = mesh.wefts.get(SimMesh.weftPeer(i % sides));
                 String tenant = "t" + i % 97;
-                side.admission.ask(
+                side.admissionClient.admit(
                         tenant,
                         new RoutingConfiguration.Tenant(tenant, -1, 1e6, 1e6),
                         1,
-                        keyed ? side.admission.register(tenant, "k" + i) : null,
+                        keyed ? side.admissionClient.registerId(tenant, "k" + i) : null,
                         keyed ? "10.0.0.1:7000 life " + i : null,
                         null,
                         300,
-                        a -> gone[0] += a.verdict() == Admission.Verdict.GO ? 1 : 0);
+                        a -> gone[0] += a.verdict() == AdmissionClient.Verdict.ADMITTED ? 1 : 0);
                 w.run(1);
             }
             w.run(500);
@@ -168,7 +168,7 @@
         }
         note(
                 "registers held by a voter",
-                mesh.helms.values().iterator().next().registers.held());
+                mesh.helms.values().iterator().next().registerProposer.registerCount());
 
         // A tenth of the sides dies, and comes back.
         messages = w.messages;
@@ -235,7 +235,7 @@
         long epoch = change.tree().get("epoch").getAsLong();
         for (int i = 0; i < 1000; i++) {
             mesh.world.run(10);
-            if (got[0] != null && mesh.wefts.values().stream().allMatch(x -> x.shadow.epoch() == epoch)) {
+            if (got[0] != null && mesh.wefts.values().stream().allMatch(x -> x.shadowCommit.epoch() == epoch)) {
                 return;
             }
         }
--- a/src/test/java/bramblespool/CatchUpTest.java
+++ b/src/test/java/bramblespool/CatchUpTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.HelmCore;
+import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.protocol.Orders;
 import bramblespool.raft.MemberProgress;
 import bramblespool.raft.RaftNode;
@@ -81,7 +81,7 @@
         if (waiting || mesh.leader() == null) {
             return;
         }
-        long base = mesh.leader().ledger().current().epoch();
+        long base = mesh.leader().replicatedState().current().epoch();
         epoch = Math.max(epoch, base) + 1;
         waiting = true;
         mesh.order(mesh.large(epoch, base, routes), o -> {
@@ -121,7 +121,7 @@
         for (long t = 0; t < GIVEN_UP_MS; t += 10) {
             meanwhile(with, t, routes);
             mesh.world.run(10);
-            HelmCore l = mesh.leader();
+            ControllerNode l = mesh.leader();
             if (l == null) {
                 leaderless += 10;
                 continue;
@@ -130,11 +130,12 @@
             for (MemberProgress p : l.raft.memberProgress()) {
                 snapshots = Math.max(snapshots, p.snapshotsSent());
             }
-            HelmCore b = mesh.helms.get(back);
+            ControllerNode b = mesh.helms.get(back);
             boolean faultOver = t > (with == With.RESTARTED ? 700 : with == With.LEADER_LOST ? 400 : 0);
             if (b != null
                     && faultOver
-                    && b.ledger().current().epoch() >= l.ledger().current().epoch()) {
+                    && b.replicatedState().current().epoch()
+                            >= l.replicatedState().current().epoch()) {
                 return new Result(t + 10, terms, leaderless, (mesh.world.bytes - bytes) / 1024, snapshots);
             }
         }
@@ -243,7 +244,7 @@
         for (int i = 0; i < 100; i++) {
             mesh.world.run(100);
             assertNotNull(mesh.leader(), "after " + i * 100 + " ms");
-            caught += mesh.helms.get(back).ledger().current().epoch() == epoch ? 1 : 0;
+            caught += mesh.helms.get(back).replicatedState().current().epoch() == epoch ? 1 : 0;
         }
         assertEquals(term, mesh.leader().raft.currentTerm());
         assertTrue(caught > 0, "it catches up");
@@ -276,7 +277,7 @@
         machine(back).linkRate = 0.5 * MEGABIT;
         mesh.startHelm(back, false);
         assertEquals(1, snapshotsWhile(2000));
-        assertEquals(epoch, mesh.helms.get(back).ledger().current().epoch());
+        assertEquals(epoch, mesh.helms.get(back).replicatedState().current().epoch());
     }
 
     /** Entries that have just been folded are still there for whoever lacks no more than these. */
@@ -291,7 +292,7 @@
             mesh.world.isolate(back, false);
             assertEquals(0, snapshotsWhile(800), "after change " + i);
         }
-        assertEquals(epoch, mesh.helms.get(back).ledger().current().epoch());
+        assertEquals(epoch, mesh.helms.get(back).replicatedState().current().epoch());
         assertTrue(machine(leader).disk.load().snapshot().index() >= 64, "folded meanwhile");
     }
 
@@ -301,7 +302,7 @@
         Result r = catchUp(1, 120, ROUTES, 0.25, With.CHANGES);
         assertEquals(0, r.terms, r.toString());
         assertTrue(r.mostSnapshots > 3, r.toString());
-        HelmCore l = mesh.leader();
+        ControllerNode l = mesh.leader();
         long behind = l.raft.lastApplied() - mesh.helms.get(back).raft.lastApplied();
         assertTrue(behind < 128, behind + " entries behind");
         String text = Status.text(leader, status(l), false);
@@ -309,7 +310,7 @@
         assertTrue(text.contains("entries behind"), text);
     }
 
-    private static ObjectNode status(HelmCore h) {
+    private static ObjectNode status(ControllerNode h) {
         ObjectNode[] out = new ObjectNode[1];
         h.serve("status", JsonNodeFactory.instance.objectNode(), n -> out[0] = n);
         return out[0];
@@ -369,10 +370,12 @@
         }
         assertTrue(sent < size, sent + " of " + size);
         mesh.killHelm(leader, true);
-        for (int i = 0; i < 800 && mesh.helms.get(back).ledger().current().epoch() < epoch; i++) {
+        for (int i = 0;
+                i < 800 && mesh.helms.get(back).replicatedState().current().epoch() < epoch;
+                i++) {
             mesh.world.run(10);
         }
-        assertEquals(epoch, mesh.helms.get(back).ledger().current().epoch());
+        assertEquals(epoch, mesh.helms.get(back).replicatedState().current().epoch());
         mesh.world.run(2000);
         assertEquals(mesh.helms.get(third), mesh.leader());
         long[] parts = mesh.world.kinds.get("part");
@@ -383,7 +386,7 @@
     @Test
     void aSnapshotIsNotAcknowledgedBeforeTheDiskHasIt() {
         begin(4, 10);
-        HelmCore b = mesh.helms.get(back);
+        ControllerNode b = mesh.helms.get(back);
         mesh.world.isolate(back, true);
         changes(64, 10);
         DurableStore.Snapshot s = machine(leader).disk.load().snapshot();
@@ -406,8 +409,8 @@
         assertTrue(stored.stream().allMatch(i -> i < s.index()), stored.toString());
     }
 
-    private ObjectNode part(HelmCore to, DurableStore.Snapshot s, String data) {
-        HelmCore l = mesh.helms.get(leader);
+    private ObjectNode part(ControllerNode to, DurableStore.Snapshot s, String data) {
+        ControllerNode l = mesh.helms.get(leader);
         ObjectNode m = JsonNodeFactory.instance
                 .objectNode()
                 .put("to", to.raft.localId())
@@ -430,7 +433,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void aCrashWhileASnapshotIsInstalledLeavesOneOfTheTwoStates(long seed) {
         begin(seed, 10);
-        HelmCore b = mesh.helms.get(back);
+        ControllerNode b = mesh.helms.get(back);
         mesh.world.isolate(back, true);
         changes(64, 10);
         DurableStore.Snapshot s = machine(leader).disk.load().snapshot();
@@ -449,26 +452,26 @@
         mesh.world.isolate(back, false);
         mesh.startHelm(back, false);
         mesh.world.run(3000);
-        assertEquals(epoch, mesh.helms.get(back).ledger().current().epoch());
+        assertEquals(epoch, mesh.helms.get(back).replicatedState().current().epoch());
     }
 
     /** A snapshot that was damaged on its way changes nothing. */
     @Test
     void aDamagedSnapshotIsRefused() {
         begin(5, 10);
-        HelmCore b = mesh.helms.get(back);
+        ControllerNode b = mesh.helms.get(back);
         mesh.world.isolate(back, true);
         changes(64, 10);
         DurableStore.Snapshot s = machine(leader).disk.load().snapshot();
-        String state = b.ledger().snapshot().toString();
+        String state = b.replicatedState().snapshot().toString();
         ObjectNode[] answer = new ObjectNode[1];
         b.serve("part", part(b, s, damaged(s.data())), n -> answer[0] = n);
         assertNotNull(answer[0]);
         assertFalse(answer[0].path("ok").asBoolean());
-        assertEquals(state, b.ledger().snapshot().toString());
+        assertEquals(state, b.replicatedState().snapshot().toString());
         mesh.world.isolate(back, false);
         mesh.world.run(3000);
-        assertEquals(epoch, b.ledger().current().epoch());
+        assertEquals(epoch, b.replicatedState().current().epoch());
     }
 
     /** Another number in a place where it is still a state. */
@@ -510,19 +513,20 @@
         mesh.world.run(5000);
         assertNotNull(mesh.leader());
         assertEquals(
-                mesh.leader().ledger().snapshot(), mesh.helms.get(back).ledger().snapshot());
-        assertEquals(epoch, mesh.helms.get(back).ledger().current().epoch());
+                mesh.leader().replicatedState().snapshot(),
+                mesh.helms.get(back).replicatedState().snapshot());
+        assertEquals(epoch, mesh.helms.get(back).replicatedState().current().epoch());
         mesh.killHelm(mesh.leader() == mesh.helms.get(leader) ? leader : third, true);
         mesh.world.run(4000);
         assertNotNull(mesh.leader(), "with a whole snapshot it votes again");
     }
 
-    private static void mutate(HelmCore h) {
-        h.ledger().evacuations().put("nowhere", new ReplicatedState.Evacuation(true, 1));
+    private static void mutate(ControllerNode h) {
+        h.replicatedState().evacuations().put("nowhere", new ReplicatedState.Evacuation(true, 1));
     }
 
-    private static boolean mutated(HelmCore h) {
-        return h.ledger().evacuations().containsKey("nowhere");
+    private static boolean mutated(ControllerNode h) {
+        return h.replicatedState().evacuations().containsKey("nowhere");
     }
 
     /** A follower's state goes astray: found at the next checkpoint, and mended without losing an entry it has. */
@@ -531,7 +535,7 @@
     void aFollowerWithAnotherStateTakesTheGroups(long seed) {
         begin(seed, 10);
         changes(40, 10);
-        HelmCore b = mesh.helms.get(back);
+        ControllerNode b = mesh.helms.get(back);
         mutate(b);
         long term = mesh.leader().raft.currentTerm();
         long[] highest = new long[1];
@@ -546,7 +550,8 @@
         assertFalse(mutated(b), "mended after " + (epoch - 41) + " changes");
         assertTrue(epoch - 41 <= 10, epoch + " is the version by now");
         mesh.world.run(1000);
-        assertEquals(mesh.leader().ledger().snapshot(), b.ledger().snapshot());
+        assertEquals(
+                mesh.leader().replicatedState().snapshot(), b.replicatedState().snapshot());
         assertEquals(term, mesh.leader().raft.currentTerm());
         for (MemberProgress p : mesh.leader().raft.memberProgress()) {
             assertFalse(p.hasDivergedState(), p.toString());
@@ -559,7 +564,7 @@
     void aFollowerWithAnotherStateNeverLeads(long seed) {
         begin(seed, 10);
         changes(40, 10);
-        HelmCore b = mesh.helms.get(back);
+        ControllerNode b = mesh.helms.get(back);
         mutate(b);
         boolean[] known = new boolean[1];
         for (int i = 0; i < 2000 && !known[0]; i++) {
@@ -581,7 +586,8 @@
         mesh.world.run(4000);
         assertNotNull(mesh.leader());
         assertFalse(mutated(mesh.leader()));
-        assertEquals(mesh.leader().ledger().snapshot(), b.ledger().snapshot());
+        assertEquals(
+                mesh.leader().replicatedState().snapshot(), b.replicatedState().snapshot());
     }
 
     /** The leader is the odd one: a majority holds another state, so it gives up the lead and takes theirs. */
@@ -590,7 +596,7 @@
     void aLeaderWithAnotherStateThanTheMajorityGoes(long seed) {
         begin(seed, 10);
         changes(40, 10);
-        HelmCore odd = mesh.helms.get(leader);
+        ControllerNode odd = mesh.helms.get(leader);
         mutate(odd);
         for (int i = 0; i < 100 && (mutated(odd) || mesh.leader() == null); i++) {
             order(10);
@@ -602,7 +608,8 @@
         mesh.helms
                 .values()
                 .forEach(h -> assertEquals(
-                        mesh.leader().ledger().snapshot(), h.ledger().snapshot()));
+                        mesh.leader().replicatedState().snapshot(),
+                        h.replicatedState().snapshot()));
     }
 
     /** The same bytes whether a member applied all throughout, or took a snapshot anywhere and went on from there. */
--- a/src/test/java/bramblespool/ClusterTest.java
+++ b/src/test/java/bramblespool/ClusterTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.Fleet;
-import bramblespool.coordination.HelmCore;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.protocol.Orders;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
@@ -36,7 +36,7 @@
     }
 
     private static void epochs(SimMesh mesh, long wanted) {
-        mesh.wefts.forEach((peer, w) -> assertEquals(wanted, w.shadow.epoch(), peer));
+        mesh.wefts.forEach((peer, w) -> assertEquals(wanted, w.shadowCommit.epoch(), peer));
     }
 
     @Test
@@ -48,12 +48,12 @@
         assertEquals(200, order(mesh, 9, 5, "two").status());
         mesh.world.run(1000);
         epochs(mesh, 9);
-        HelmCore leader = mesh.leader();
-        assertEquals(ReplicatedState.Phase.MARKED, leader.ledger().phase());
-        assertTrue(leader.commit.unconfirmed().isEmpty(), "all confirmed");
-        for (WeftCore w : mesh.wefts.values()) {
-            assertEquals("0", w.shadow.mark(), "marking is back to the bit");
-            assertEquals(5, w.shadow.shadow().epoch, "the old version is the shadow");
+        ControllerNode leader = mesh.leader();
+        assertEquals(ReplicatedState.Phase.MARKED, leader.replicatedState().phase());
+        assertTrue(leader.commitCoordinator.unconfirmed().isEmpty(), "all confirmed");
+        for (DataPlaneNode w : mesh.wefts.values()) {
+            assertEquals("0", w.shadowCommit.currentMark(), "marking is back to the bit");
+            assertEquals(5, w.shadowCommit.shadowConfiguration().epoch, "the old version is the shadow");
         }
     }
 
@@ -78,8 +78,8 @@
         mesh.world.isolate(away, true);
         assertEquals(200, order(mesh, 6, 5, "two").status());
         mesh.world.run(3000);
-        assertEquals(5, mesh.wefts.get(away).shadow.epoch());
-        assertFalse(mesh.leader().commit.unconfirmed().isEmpty(), "left unconfirmed");
+        assertEquals(5, mesh.wefts.get(away).shadowCommit.epoch());
+        assertFalse(mesh.leader().commitCoordinator.unconfirmed().isEmpty(), "left unconfirmed");
         mesh.world.isolate(away, false);
         mesh.world.run(2500);
         epochs(mesh, 6);
@@ -100,12 +100,14 @@
             mesh.killHelm(led, true);
             mesh.world.run(8000);
             assertNotNull(mesh.leader(), "a new leader");
-            long now = mesh.leader().ledger().current().epoch();
+            long now = mesh.leader().replicatedState().current().epoch();
             if (acknowledged) {
                 assertEquals(6, now, "acknowledged, killed after " + cutAt);
             }
             epochs(mesh, now);
-            assertEquals(ReplicatedState.Phase.MARKED, mesh.leader().ledger().phase());
+            assertEquals(
+                    ReplicatedState.Phase.MARKED,
+                    mesh.leader().replicatedState().phase());
             assertEquals(200, order(mesh, 9, now, "three").status(), "the group goes on");
         }
     }
@@ -127,7 +129,7 @@
         // With its place taken the group bears the loss of another.
         mesh.killHelm(SimMesh.helmPeer(0), true);
         mesh.world.run(5000);
-        assertEquals(5, mesh.leader().ledger().current().epoch());
+        assertEquals(5, mesh.leader().replicatedState().current().epoch());
     }
 
     @Test
@@ -140,11 +142,11 @@
         mesh.order(SimMesh.change(6, 5, "two"), o -> {});
         mesh.world.run(4000);
         assertFalse(mesh.helms.get(led).raft.isLeader(), "a helm that cannot sync gives up the lead");
-        long now = mesh.leader().ledger().current().epoch();
+        long now = mesh.leader().replicatedState().current().epoch();
         assertEquals(200, order(mesh, 8, now, "three").status());
         mesh.world.machine(led).disk.full = false;
         mesh.world.run(3000);
-        assertEquals(8, mesh.helms.get(led).ledger().current().epoch());
+        assertEquals(8, mesh.helms.get(led).replicatedState().current().epoch());
     }
 
     @Test
@@ -154,14 +156,14 @@
         order(mesh, 5, 0, "one");
         mesh.killHelm(SimMesh.helmPeer(0), true);
         mesh.world.run(4000);
-        mesh.wefts.forEach((p, w) -> assertTrue(w.sessionOpen(), p));
+        mesh.wefts.forEach((p, w) -> assertTrue(w.hasSession(), p));
         mesh.helms.keySet().stream().toList().forEach(h -> mesh.killHelm(h, true));
         mesh.killWeft(SimMesh.weftPeer(0));
         mesh.startWeft(SimMesh.weftPeer(0));
         mesh.world.run(6000);
-        WeftCore back = mesh.wefts.get(SimMesh.weftPeer(0));
-        assertEquals(5, back.shadow.epoch(), "with the whole core gone the other wefts tell the version");
-        assertTrue(back.ready());
+        DataPlaneNode back = mesh.wefts.get(SimMesh.weftPeer(0));
+        assertEquals(5, back.shadowCommit.epoch(), "with the whole core gone the other wefts tell the version");
+        assertTrue(back.isReady());
     }
 
     /**
@@ -181,11 +183,13 @@
         String away = SimMesh.weftPeer(1);
         mesh.world.isolate(away, true);
         for (int i = 0;
-                i < 200 && (mesh.leader() == null || mesh.leader().ledger().candidate() != null);
+                i < 200
+                        && (mesh.leader() == null
+                                || mesh.leader().replicatedState().candidate() != null);
                 i++) {
             mesh.world.run(20);
         }
-        boolean won = mesh.leader().ledger().current().epoch() == 5;
+        boolean won = mesh.leader().replicatedState().current().epoch() == 5;
         if (won) {
             assertEquals(200, order(mesh, 7, 5, "won").status());
             mesh.world.run(300);
@@ -194,7 +198,8 @@
         for (int i = 0; i < 200; i++) {
             mesh.world.run(20);
             mesh.wefts.forEach((p, w) -> assertTrue(
-                    w.shadow.epoch() < 7 || (w.shadow.real().route("x.example", "/won/") != null) == won,
+                    w.shadowCommit.epoch() < 7
+                            || (w.shadowCommit.realConfiguration().route("x.example", "/won/") != null) == won,
                     p + " has a version that lost"));
         }
         epochs(mesh, 7);
@@ -211,8 +216,8 @@
             mesh.killWeft(SimMesh.weftPeer(2));
             mesh.startWeft(SimMesh.weftPeer(2));
             mesh.world.run(60);
-            WeftCore back = mesh.wefts.get(SimMesh.weftPeer(2));
-            assertTrue(back.sessionOpen() && back.shadow.epoch() == 5, "after restart " + again);
+            DataPlaneNode back = mesh.wefts.get(SimMesh.weftPeer(2));
+            assertTrue(back.hasSession() && back.shadowCommit.epoch() == 5, "after restart " + again);
         }
     }
 
@@ -241,7 +246,8 @@
         mesh.leader().evacuate("b", true, r -> ok[0] = r);
         mesh.world.run(3500);
         assertTrue(ok[0]);
-        mesh.wefts.forEach((p, w) -> assertTrue(w.fleet.evacuated("b"), p + " has not heard of the evacuation"));
+        mesh.wefts.forEach(
+                (p, w) -> assertTrue(w.endpointDirectory.isEvacuated("b"), p + " has not heard of the evacuation"));
     }
 
     /** A rolling restart ends the weft, not its server: others send to it until shortly before, and nobody after. */
@@ -251,10 +257,10 @@
         mesh.world.run(4000);
         order(mesh, 5, 0, "one");
         mesh.world.run(500);
-        WeftCore ending = mesh.wefts.get(SimMesh.weftPeer(0));
-        WeftCore other = mesh.wefts.get(SimMesh.weftPeer(1));
-        ending.retire(2400);
-        assertFalse(ending.ready(), "no new clients");
+        DataPlaneNode ending = mesh.wefts.get(SimMesh.weftPeer(0));
+        DataPlaneNode other = mesh.wefts.get(SimMesh.weftPeer(1));
+        ending.shutDownGracefully(2400);
+        assertFalse(ending.isReady(), "no new clients");
         mesh.world.run(1300);
         assertTrue(offers(other, "weft-1"), "its server is still used");
         mesh.world.run(300);
@@ -262,10 +268,12 @@
     }
 
     /** Whether a weft would send a request to that one's server. */
-    private static boolean offers(WeftCore from, String node) {
-        Set<Fleet.Door> seen = new HashSet<>();
-        for (Fleet.Door d = from.fleet.choose("desk", seen); d != null; d = from.fleet.choose("desk", seen)) {
-            if (d.at.node.equals(node)) {
+    private static boolean offers(DataPlaneNode from, String node) {
+        Set<EndpointDirectory.Endpoint> seen = new HashSet<>();
+        for (EndpointDirectory.Endpoint d = from.endpointDirectory.chooseEndpoint("desk", seen);
+                d != null;
+                d = from.endpointDirectory.chooseEndpoint("desk", seen)) {
+            if (d.proxy.node.equals(node)) {
                 return true;
             }
             seen.add(d);
@@ -282,7 +290,7 @@
         mesh.leader().evacuate("b", true, r -> ok[0] = r);
         mesh.world.run(300);
         assertTrue(ok[0]);
-        mesh.wefts.forEach((p, w) -> assertTrue(w.fleet.evacuated("b"), p));
+        mesh.wefts.forEach((p, w) -> assertTrue(w.endpointDirectory.isEvacuated("b"), p));
         mesh.helms.keySet().stream().toList().forEach(h -> mesh.killHelm(h, true));
         mesh.wefts.keySet().stream().toList().forEach(mesh::killWeft);
         for (int i = 0; i < 3; i++) {
@@ -292,7 +300,7 @@
             mesh.startWeft(SimMesh.weftPeer(i));
         }
         mesh.world.run(3000);
-        mesh.wefts.forEach((p, w) -> assertTrue(w.fleet.evacuated("b"), p));
+        mesh.wefts.forEach((p, w) -> assertTrue(w.endpointDirectory.isEvacuated("b"), p));
         epochs(mesh, 5);
     }
 
@@ -301,7 +309,7 @@
     void leasesOfTheSlackOutliveTheirOwnerAndTheLeader() {
         SimMesh mesh = new SimMesh(4, 3, 4);
         mesh.world.run(4000);
-        WeftCore weft = mesh.wefts.get(SimMesh.weftPeer(0));
+        DataPlaneNode weft = mesh.wefts.get(SimMesh.weftPeer(0));
         ReplicatedState.SingletonRole first = leased(mesh, weft);
         mesh.killHelm(first.owner(), true);
         String leader = mesh.leader() == null
@@ -319,16 +327,16 @@
     }
 
     /** Lets a weft want tries until it has some, and says who owns the slack. */
-    private static ReplicatedState.SingletonRole leased(SimMesh mesh, WeftCore weft) {
+    private static ReplicatedState.SingletonRole leased(SimMesh mesh, DataPlaneNode weft) {
         boolean got = false;
         for (int i = 0; i < 60 && !got; i++) {
-            while (weft.budget.draw("desk", mesh.world.now())) {
+            while (weft.retryBudget.tryAcquire("desk", mesh.world.now())) {
                 got = i > 0;
             }
             mesh.world.run(600);
         }
         assertTrue(got, "tries are leased");
-        return mesh.leader().ledger().singletonRoles().get("slack/desk");
+        return mesh.leader().replicatedState().singletonRoles().get("slack/desk");
     }
 
     /** The leader is cut off with one operator, the other operator reaches the rest; both send on top of one version. */
@@ -356,7 +364,7 @@
             long mine = i % 2 == 0 ? 7 : 8;
             mesh.helms.forEach((peer, h) -> {
                 if (h.raft.isLeader() && peer.equals(leader) == (mine == 7)) {
-                    h.change(SimMesh.change(mine, 5, "p" + mine), o -> {
+                    h.submitChange(SimMesh.change(mine, 5, "p" + mine), o -> {
                         if (o.status() == 200) {
                             confirmed.add(mine);
                         }
@@ -367,7 +375,7 @@
         }
         assertFalse(confirmed.isEmpty(), "one of the two is taken");
         assertEquals(1, confirmed.stream().distinct().count(), confirmed.toString());
-        assertEquals(confirmed.get(0), mesh.leader().ledger().current().epoch());
+        assertEquals(confirmed.get(0), mesh.leader().replicatedState().current().epoch());
     }
 
     /** Faults at times drawn from the seed; what was acknowledged holds, and nobody goes back. */
@@ -377,18 +385,22 @@
         int losses = seed > 30 ? 2 : 1;
         SimMesh mesh = new SimMesh(seed, losses == 2 ? 5 : seed % 2 == 0 ? 3 : 4, 5, losses, null);
         Random r = mesh.world.random;
-        Map<WeftCore, Long> highest = new IdentityHashMap<>();
+        Map<DataPlaneNode, Long> highest = new IdentityHashMap<>();
         Map<Long, String> winners = new HashMap<>();
         Map<Long, String> inForce = new HashMap<>();
         long[] acknowledged = new long[1];
         List<String> broken = new ArrayList<>();
         mesh.world.afterEach = () -> mesh.wefts.values().forEach(w -> {
-            long e = w.shadow.epoch();
+            long e = w.shadowCommit.epoch();
             if (e < highest.getOrDefault(w, 0L)) {
                 broken.add("a weft went back from " + highest.get(w) + " to " + e);
             }
             highest.put(w, e);
-            if (e > 0 && !w.shadow.real().stamp.equals(inForce.computeIfAbsent(e, k -> w.shadow.real().stamp))) {
+            if (e > 0
+                    && !w.shadowCommit
+                            .realConfiguration()
+                            .stamp
+                            .equals(inForce.computeIfAbsent(e, k -> w.shadowCommit.realConfiguration().stamp))) {
                 broken.add("two documents in force as " + e);
             }
         });
@@ -396,8 +408,8 @@
         long[] epoch = {1};
         int helmCount = mesh.helms.size();
         for (int round = 0; round < 25; round++) {
-            HelmCore l = mesh.leader();
-            long base = l == null ? 0 : l.ledger().current().epoch();
+            ControllerNode l = mesh.leader();
+            long base = l == null ? 0 : l.replicatedState().current().epoch();
             for (int rival = 0; rival < 2; rival++) {
                 // Rivals often choose the same number.
                 long mine = (rival == 0 || r.nextBoolean() ? ++epoch[0] : epoch[0]) + base;
@@ -465,12 +477,12 @@
             mesh.world.run(2500 + r.nextInt(2500));
             assertEquals(List.of(), broken, "round " + round);
             assertNotNull(mesh.leader(), "a leader in round " + round);
-            long now = mesh.leader().ledger().current().epoch();
+            long now = mesh.leader().replicatedState().current().epoch();
             assertTrue(
                     now >= acknowledged[0],
                     "round " + round + ": " + acknowledged[0] + " was acknowledged, " + now + " is in force");
         }
         mesh.world.run(5000);
-        epochs(mesh, mesh.leader().ledger().current().epoch());
+        epochs(mesh, mesh.leader().replicatedState().current().epoch());
     }
 }
--- a/src/test/java/bramblespool/FleetTest.java
+++ b/src/test/java/bramblespool/FleetTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.Fleet;
-import bramblespool.coordination.News;
+import bramblespool.coordination.gossip.GossipStore;
+import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.sim.SimWorld;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -20,13 +20,13 @@
     private final SimWorld world = new SimWorld(5);
     private final SimWorld.Machine machine = world.machine("10.0.1.1:7000");
     private final Map<String, Integer> own = new HashMap<>();
-    private Fleet fleet;
+    private EndpointDirectory fleet;
     private long seq;
 
     @BeforeEach
     void boot() {
         machine.boot();
-        fleet = new Fleet(machine, "me", "a", 1000, t -> own.getOrDefault(t, 0));
+        fleet = new EndpointDirectory(machine, "me", "a", 1000, t -> own.getOrDefault(t, 0));
     }
 
     private void door(String node, String zone, int slow) {
@@ -42,25 +42,25 @@
                 .put("capacity", 4)
                 .put("open", true)
                 .put("slow", slow);
-        fleet.hear(new News.Item(Fleet.SIDE + node, 1, ++seq, b));
+        fleet.onUpdate(new GossipStore.GossipEntry(EndpointDirectory.PROXY_KEY_PREFIX + node, 1, ++seq, b));
     }
 
     private Map<String, Integer> chosen(int times) {
         Map<String, Integer> out = new HashMap<>();
         for (int i = 0; i < times; i++) {
-            out.merge(fleet.choose("desk", Set.of()).at.node, 1, Integer::sum);
+            out.merge(fleet.chooseEndpoint("desk", Set.of()).proxy.node, 1, Integer::sum);
         }
         return out;
     }
 
     private void report(String node, int load) {
-        Set<Fleet.Door> others = new HashSet<>();
-        Fleet.Door d = fleet.choose("desk", others);
-        while (!d.at.node.equals(node)) {
+        Set<EndpointDirectory.Endpoint> others = new HashSet<>();
+        EndpointDirectory.Endpoint d = fleet.chooseEndpoint("desk", others);
+        while (!d.proxy.node.equals(node)) {
             others.add(d);
-            d = fleet.choose("desk", others);
+            d = fleet.chooseEndpoint("desk", others);
         }
-        fleet.report(d, load);
+        fleet.recordLoad(d, load);
     }
 
     @Test
--- a/src/test/java/bramblespool/GateTest.java
+++ b/src/test/java/bramblespool/GateTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.Budget;
-import bramblespool.coordination.Gate;
-import bramblespool.coordination.Gates;
-import bramblespool.coordination.Slack;
+import bramblespool.coordination.traffic.RetryBudget;
+import bramblespool.coordination.traffic.RetryBudgetLeases;
+import bramblespool.coordination.traffic.ServerAdmission;
+import bramblespool.coordination.traffic.ServerAdmissions;
 import bramblespool.protocol.Beat;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
@@ -29,27 +29,32 @@
     private final SimWorld world = new SimWorld(1);
     private final SimWorld.Machine machine = world.machine("10.0.1.1:7000");
     private final List<Long> arrivals = new ArrayList<>();
-    private final List<Gate.Refusal> refused = new ArrayList<>();
+    private final List<ServerAdmission.Rejection> refused = new ArrayList<>();
     private int running;
     private int mostRunning;
     private long seq;
-    private Gate gate;
+    private ServerAdmission gate;
 
     @BeforeEach
     void boot() {
         machine.boot();
-        gate = new Gate(
-                machine, new Gate.Rules(1500, 833, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> {}, EventLog.silent());
-        gate.warming(8.5, 6000);
+        gate = new ServerAdmission(
+                machine,
+                new ServerAdmission.AdmissionSettings(1500, 833, 2500, 1.5, 5),
+                "10.0.1.1:9000",
+                "desk",
+                () -> {},
+                EventLog.silent());
+        gate.configureSlowStart(8.5, 6000);
     }
 
     private String beat(String id, boolean draining, long cold) {
-        return gate.beat(new Beat(id, "desk", "10.0.1.1:9000", "a", 6, draining, cold, ++seq));
+        return gate.onHeartbeat(new Beat(id, "desk", "10.0.1.1:9000", "a", 6, draining, cold, ++seq));
     }
 
     private void send(int rank, long work) {
-        Gate.Ticket[] t = new Gate.Ticket[1];
-        t[0] = gate.offer(
+        ServerAdmission.AdmissionTicket[] t = new ServerAdmission.AdmissionTicket[1];
+        t[0] = gate.admit(
                 "r",
                 rank,
                 600,
@@ -60,7 +65,7 @@
                     mostRunning = Math.max(mostRunning, running);
                     machine.after(work, () -> {
                         running--;
-                        t[0].done(true);
+                        t[0].release(true);
                     });
                 },
                 refused::add);
@@ -74,7 +79,7 @@
         }
         int refusedAtOnce = refused.size();
         assertTrue(refusedAtOnce > 50, "refused at once: " + refusedAtOnce);
-        refused.forEach(r -> assertTrue(r.retryMs() > 0, "says when to come back"));
+        refused.forEach(r -> assertTrue(r.retryAfterMs() > 0, "says when to come back"));
         world.run(3000);
         assertEquals(6, mostRunning);
         assertEquals(100, arrivals.size() + refused.size(), "every request is heard of once");
@@ -99,12 +104,17 @@
     /** A steward's new gate: the version came before it, and its bound on cold servers holds here too. */
     @Test
     void aGateThatComesAfterTheConfigurationKnowsItsBound() throws RoutingConfiguration.InvalidConfigurationException {
-        Gates gates = new Gates();
-        gates.warming(RoutingConfiguration.compile(SimMesh.document(5, 0, "one")));
-        gate = new Gate(
-                machine, new Gate.Rules(0, 0, 2500, 1.5, 5), "10.0.1.1:9000", "desk", () -> {}, EventLog.silent());
+        ServerAdmissions gates = new ServerAdmissions();
+        gates.applyConfiguration(RoutingConfiguration.compile(SimMesh.document(5, 0, "one")));
+        gate = new ServerAdmission(
+                machine,
+                new ServerAdmission.AdmissionSettings(0, 0, 2500, 1.5, 5),
+                "10.0.1.1:9000",
+                "desk",
+                () -> {},
+                EventLog.silent());
         gates.add(gate);
-        gate.listed("i1", 6, false, 6000);
+        gate.onRegistryEntry("i1", 6, false, 6000);
         for (int i = 0; i < 100; i++) {
             send(1, 5);
             world.run(9);
@@ -115,10 +125,10 @@
     @Test
     void afterAnEvacuationTheServerCountsAsColdUntilItsNextBeat() {
         beat("i1", false, 0);
-        gate.evacuated(true);
+        gate.setEvacuated(true);
         send(1, 5);
-        assertEquals("evacuated", refused.get(0).why());
-        gate.evacuated(false);
+        assertEquals("evacuated", refused.get(0).reason());
+        gate.setEvacuated(false);
         for (int i = 0; i < 100; i++) {
             send(1, 5);
             world.run(10);
@@ -163,17 +173,17 @@
     void aDrainingServerIsClosedWellWithinTheBound() {
         beat("i1", false, 0);
         beat("i1", true, 0);
-        assertFalse(gate.open());
+        assertFalse(gate.isAccepting());
         world.run(1200);
         send(1, 5);
-        assertEquals("draining", refused.get(0).why());
+        assertEquals("draining", refused.get(0).reason());
     }
 
     @Test
     void aServerFirstHeardOfWhileDrainingGetsNothing() {
         beat("i1", true, 0);
         send(1, 5);
-        assertEquals("draining", refused.get(0).why());
+        assertEquals("draining", refused.get(0).reason());
     }
 
     @Test
@@ -181,11 +191,11 @@
         beat("i1", false, 0);
         beat("i2", false, 0);
         beat("i1", false, 0);
-        assertEquals("i2", gate.id());
-        assertNull(gate.beat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, true, 0, 1)));
-        assertTrue(gate.open(), "an old callSeq does not drain");
-        assertNotNull(gate.beat(new Beat("i3", "other", "10.0.1.1:9000", "a", 6, false, 0, 99)));
-        assertNotNull(gate.beat(new Beat("i3", "desk", "10.9.9.9:9000", "a", 6, false, 0, 99)));
+        assertEquals("i2", gate.serverId());
+        assertNull(gate.onHeartbeat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, true, 0, 1)));
+        assertTrue(gate.isAccepting(), "an old callSeq does not drain");
+        assertNotNull(gate.onHeartbeat(new Beat("i3", "other", "10.0.1.1:9000", "a", 6, false, 0, 99)));
+        assertNotNull(gate.onHeartbeat(new Beat("i3", "desk", "10.9.9.9:9000", "a", 6, false, 0, 99)));
     }
 
     /** Where this process does not remember the lives before, a late beat of an old one looks new; the server's own word counts. */
@@ -193,14 +203,14 @@
     void aServerThatGoesOnBeatingComesBackAfterALateBeatOfItsLastLife() {
         beat("i2", false, 0);
         beat("i1", false, 0);
-        assertEquals("i1", gate.id());
-        assertNull(gate.beat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
-        gate.unreachable("i1");
-        assertNull(gate.beat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
-        assertFalse(gate.open(), "nor does a late beat of the other bring that one back");
+        assertEquals("i1", gate.serverId());
+        assertNull(gate.onHeartbeat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
+        gate.markUnreachable("i1");
+        assertNull(gate.onHeartbeat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
+        assertFalse(gate.isAccepting(), "nor does a late beat of the other bring that one back");
         beat("i2", false, 0);
-        assertEquals("i2", gate.id());
-        assertTrue(gate.open());
+        assertEquals("i2", gate.serverId());
+        assertTrue(gate.isAccepting());
     }
 
     @Test
@@ -211,28 +221,28 @@
         beat("i2", false, 0);
         beat("i3", false, 0);
         beat("i1", true, 0);
-        gate.leave("i2");
-        gate.unreachable("i3");
+        gate.onServerLeft("i2");
+        gate.markUnreachable("i3");
         beat("i0", false, 0);
         beat("i1", false, 0);
         beat("i2", false, 0);
-        assertFalse(gate.open());
+        assertFalse(gate.isAccepting());
         beat("i3", false, 0);
-        assertEquals("i3", gate.id());
+        assertEquals("i3", gate.serverId());
     }
 
     @Test
     void higherRankGoesFirstAndWithinARankFirstCome() {
         beat("i1", false, 0);
         ArrayDeque<String> order = new ArrayDeque<>();
-        List<Gate.Ticket> held = new ArrayList<>();
+        List<ServerAdmission.AdmissionTicket> held = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            held.add(gate.offer("r", 1, 600, world.now() + 1500, () -> {}, refused::add));
+            held.add(gate.admit("r", 1, 600, world.now() + 1500, () -> {}, refused::add));
         }
-        gate.offer("r", 2, 600, world.now() + 1000, () -> order.add("second"), refused::add);
-        gate.offer("r", 2, 600, world.now() + 900, () -> order.add("third"), refused::add);
-        gate.offer("r", 0, 600, world.now() + 1500, () -> order.add("first"), refused::add);
-        held.forEach(t -> t.done(false));
+        gate.admit("r", 2, 600, world.now() + 1000, () -> order.add("second"), refused::add);
+        gate.admit("r", 2, 600, world.now() + 900, () -> order.add("third"), refused::add);
+        gate.admit("r", 0, 600, world.now() + 1500, () -> order.add("first"), refused::add);
+        held.forEach(t -> t.release(false));
         assertEquals(List.of("first", "second", "third"), List.copyOf(order));
     }
 
@@ -242,25 +252,25 @@
         double ratio = 0.2;
         long drawn = 0;
         long requests = 0;
-        Slack owner = new Slack(machine, slack, 10_000);
+        RetryBudgetLeases owner = new RetryBudgetLeases(machine, slack, 10_000);
         owner.grant("desk", 7);
         world.run(13_000);
         long granted = 0;
         for (int w = 0; w < daemons; w++) {
-            Budget b = new Budget(ratio, slack);
-            b.sharers(daemons);
+            RetryBudget b = new RetryBudget(ratio, slack);
+            b.setProxyCount(daemons);
             for (int i = 0; i < 50; i++) {
-                b.request("desk");
+                b.onRequest("desk");
                 requests++;
-                while (b.draw("desk", world.now())) {
+                while (b.tryAcquire("desk", world.now())) {
                     drawn++;
                 }
             }
-            assertEquals(Set.of("desk"), b.wanting(), "whoever lacks a try asks for one");
+            assertEquals(Set.of("desk"), b.takeExhaustedServices(), "whoever lacks a try asks for one");
             int n = owner.grant("desk", 7);
             granted += n;
-            b.leased("desk", n, world.now() + owner.lifeMs());
-            while (b.draw("desk", world.now())) {
+            b.leased("desk", n, world.now() + owner.leaseDurationMs());
+            while (b.tryAcquire("desk", world.now())) {
                 drawn++;
             }
         }
@@ -268,27 +278,29 @@
         assertTrue(drawn >= granted);
         assertTrue(drawn <= ratio * requests + slack, drawn + " further tries of " + requests);
         assertEquals(0, owner.grant("desk", 8), "a new owner waits until nothing of the old one's can be left");
-        world.run(owner.lifeMs());
-        Budget late = new Budget(0, 1);
-        late.sharers(500);
+        world.run(owner.leaseDurationMs());
+        RetryBudget late = new RetryBudget(0, 1);
+        late.setProxyCount(500);
         late.leased("desk", 1, world.now() - 1);
-        assertFalse(late.draw("desk", world.now()), "a lease ends");
+        assertFalse(late.tryAcquire("desk", world.now()), "a lease ends");
     }
 
     @Test
     void aServerThatFailsAPartGetsLessAndIsForgivenInTime() {
         beat("i1", false, 0);
         for (int i = 0; i < 40; i++) {
-            Gate.Ticket[] t = new Gate.Ticket[1];
-            t[0] = gate.offer("r", 1, 1000, world.now() + 1000, () -> {}, r -> {});
-            t[0].outcome(i % 2 == 0);
-            t[0].done(false);
+            ServerAdmission.AdmissionTicket[] t = new ServerAdmission.AdmissionTicket[1];
+            t[0] = gate.admit("r", 1, 1000, world.now() + 1000, () -> {}, r -> {});
+            t[0].recordOutcome(i % 2 == 0);
+            t[0].release(false);
         }
-        assertTrue(gate.ill() >= 0.2 && gate.ill() < 0.8, "ill: " + gate.ill());
-        assertTrue(gate.open(), "less, not nothing");
+        assertTrue(
+                gate.reportedFailureRate() >= 0.2 && gate.reportedFailureRate() < 0.8,
+                "ill: " + gate.reportedFailureRate());
+        assertTrue(gate.isAccepting(), "less, not nothing");
         world.run(15_000);
         gate.check();
-        assertEquals(0, gate.ill());
+        assertEquals(0, gate.reportedFailureRate());
     }
 
     /** A server that turns five times as slow says so within a few requests. */
@@ -299,15 +311,15 @@
             send(1, i % 2 == 0 ? 60 : 90);
             world.run(120);
         }
-        assertEquals(0, gate.slow(), "at its usual pace");
+        assertEquals(0, gate.slownessLevel(), "at its usual pace");
         for (int i = 0; i < 20; i++) {
             send(1, i % 2 == 0 ? 300 : 450);
             world.run(200);
         }
         world.run(1000);
-        assertEquals(2, gate.slow(), "many times slower");
+        assertEquals(2, gate.slownessLevel(), "many times slower");
         world.run(10_000);
         gate.check();
-        assertEquals(0, gate.slow(), "and it is tried again");
+        assertEquals(0, gate.slownessLevel(), "and it is tried again");
     }
 }
--- a/src/test/java/bramblespool/GatewayTest.java
+++ b/src/test/java/bramblespool/GatewayTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.protocol.Listing;
 import bramblespool.protocol.Orders;
 import bramblespool.sim.SimMesh;
@@ -47,7 +47,7 @@
     private List<String> stewards(String id) {
         List<String> out = new ArrayList<>();
         mesh.hems.forEach((peer, h) -> {
-            if (h.gates.servers().contains(id)) {
+            if (h.admissions.serverIds().contains(id)) {
                 out.add(peer);
             }
         });
@@ -62,15 +62,15 @@
 
     private String reader(String zone) {
         ReplicatedState.SingletonRole d =
-                mesh.leader().ledger().singletonRoles().get("list/" + zone);
+                mesh.leader().replicatedState().singletonRoles().get("list/" + zone);
         return d.owner();
     }
 
     private boolean takesWork(String id) {
-        for (WeftCore h : mesh.hems.values()) {
+        for (DataPlaneNode h : mesh.hems.values()) {
             for (String target : List.of("desk", "till")) {
-                var g = h.gates.pick(target);
-                if (g != null && id.equals(g.id()) && g.open()) {
+                var g = h.admissions.leastLoaded(target);
+                if (g != null && id.equals(g.serverId()) && g.isAccepting()) {
                     return true;
                 }
             }
@@ -81,12 +81,12 @@
     @Test
     void everyServerHasOneStewardInItsZoneAndTheLoadIsEven() {
         eachHasOneSteward();
-        mesh.hems.forEach((peer, h) -> assertEquals(4, h.gates.servers().size(), peer));
+        mesh.hems.forEach((peer, h) -> assertEquals(4, h.admissions.serverIds().size(), peer));
         for (SimPlatform.Server s : platform.list.values()) {
             int hem = Integer.parseInt(stewards(s.id()).get(0).split("[.:]")[3]);
             assertEquals(s.zone(), SimMesh.ZONES[(hem - 1) % 3]);
         }
-        assertTrue(mesh.hems.values().stream().allMatch(h -> h.fleet.anyServer()));
+        assertTrue(mesh.hems.values().stream().allMatch(h -> h.endpointDirectory.hasAvailableServer()));
     }
 
     @Test
@@ -104,7 +104,7 @@
         mesh.startHem(gone);
         mesh.world.run(6000);
         eachHasOneSteward();
-        assertEquals(4, mesh.hems.get(gone).gates.servers().size(), "and it has its share again");
+        assertEquals(4, mesh.hems.get(gone).admissions.serverIds().size(), "and it has its share again");
     }
 
     /** Back within a second: its session never lapsed, but its gates are gone. */
@@ -130,7 +130,7 @@
         eachHasOneSteward();
         assertEquals(
                 12,
-                mesh.hems.get(SimMesh.hemPeer(0)).gates.servers().size(),
+                mesh.hems.get(SimMesh.hemPeer(0)).admissions.serverIds().size(),
                 "all of its zone, and nobody else holds on");
     }
 
@@ -259,8 +259,8 @@
 
     @Test
     void anAssignmentUnderAnOlderFenceIsDropped() {
-        WeftCore hem = mesh.hems.get(SimMesh.hemPeer(0));
-        List<String> mine = hem.gates.servers();
+        DataPlaneNode hem = mesh.hems.get(SimMesh.hemPeer(0));
+        List<String> mine = hem.admissions.serverIds();
         ObjectNode old = JsonNodeFactory.instance
                 .objectNode()
                 .put("zone", "a")
@@ -270,17 +270,19 @@
         ObjectNode[] got = new ObjectNode[1];
         hem.serve("assign", old, a -> got[0] = a);
         assertFalse(got[0].path("ok").asBoolean());
-        assertEquals(mine, hem.gates.servers());
+        assertEquals(mine, hem.admissions.serverIds());
     }
 
     @Test
     void aReaderCutOffLosesItsDutyAndTheNextOneItsFence() {
         String reader = reader("b");
-        long fence = mesh.leader().ledger().singletonRoles().get("list/b").fencingToken();
+        long fence =
+                mesh.leader().replicatedState().singletonRoles().get("list/b").fencingToken();
         mesh.world.isolate(reader, true);
         mesh.world.run(5000);
         assertNotEquals(reader, reader("b"));
-        assertTrue(mesh.leader().ledger().singletonRoles().get("list/b").fencingToken() > fence);
+        assertTrue(
+                mesh.leader().replicatedState().singletonRoles().get("list/b").fencingToken() > fence);
         int calls = platform.calls.getOrDefault(reader, 0);
         mesh.world.run(2000);
         assertEquals(calls, platform.calls.getOrDefault(reader, 0), "cut off, it reads no more");
@@ -309,7 +311,7 @@
         m.world.machine(helms.get(1)).disk.wipe();
         helms.forEach(h -> m.startHelm(h, false));
         m.world.run(6000);
-        assertEquals(5, m.leader().ledger().current().epoch());
+        assertEquals(5, m.leader().replicatedState().current().epoch());
     }
 
     /** With a hundred hems a change costs each about one message, and what it costs does not grow with the square. */
--- a/src/test/java/bramblespool/HundredsTest.java
+++ b/src/test/java/bramblespool/HundredsTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.HelmCore;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.protocol.Orders;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
@@ -51,8 +51,8 @@
         return mesh.wefts.entrySet().stream()
                 .filter(e -> {
                     int i = new ArrayList<>(mesh.wefts.keySet()).indexOf(e.getKey());
-                    return e.getValue().sessionOpen()
-                            && SimMesh.helmPeer(i % 6).equals(e.getValue().helm());
+                    return e.getValue().hasSession()
+                            && SimMesh.helmPeer(i % 6).equals(e.getValue().controller());
                 })
                 .count();
     }
@@ -68,7 +68,7 @@
 
     private long behind(long epoch) {
         return mesh.wefts.values().stream()
-                .filter(w -> w.shadow.epoch() != epoch)
+                .filter(w -> w.shadowCommit.epoch() != epoch)
                 .count();
     }
 
@@ -118,7 +118,7 @@
         for (int t = 0; t < 2500; t += 50) {
             mesh.world.run(50);
             most[0] = Math.max(most[0], (int)
-                    mesh.wefts.values().stream().filter(w -> !w.sessionOpen()).count());
+                    mesh.wefts.values().stream().filter(w -> !w.hasSession()).count());
         }
         assertEquals(0, behind(6), "in force everywhere within apply");
         assertEquals(0, most[0], "sessions lost");
@@ -140,8 +140,8 @@
         }
         mesh.world.run(2000);
         long messages = mesh.world.messages - before;
-        for (WeftCore w : mesh.wefts.values()) {
-            assertTrue(w.ready() && w.sessionOpen() && w.shadow.epoch() == 5, "back in two thirds of quiet");
+        for (DataPlaneNode w : mesh.wefts.values()) {
+            assertTrue(w.isReady() && w.hasSession() && w.shadowCommit.epoch() == 5, "back in two thirds of quiet");
         }
         assertTrue(messages < SIDES * 60, messages + " messages after a herd came back");
     }
@@ -157,14 +157,14 @@
         mesh.world.run(killedAfter);
         mesh.killHelm(RaftNode.addressOf(mesh.leader().raft.leaderId()), true);
         mesh.world.run(5000);
-        HelmCore next = mesh.leader();
+        ControllerNode next = mesh.leader();
         assertNotNull(next, "a new leader");
-        long now = next.ledger().current().epoch();
+        long now = next.replicatedState().current().epoch();
         if (got[0] != null && got[0].status() == 200) {
             assertEquals(6, now, "acknowledged");
         }
         assertEquals(0, behind(now), "one version everywhere");
-        assertEquals(ReplicatedState.Phase.MARKED, next.ledger().phase());
+        assertEquals(ReplicatedState.Phase.MARKED, next.replicatedState().phase());
         assertEquals(200, order(SimMesh.change(9, now, "three"), 1500).status(), "and changes go on");
     }
 
@@ -183,7 +183,7 @@
         for (int t = 0; t < 60; t++) {
             mesh.world.run(100);
             lost = Math.max(lost, (int)
-                    mesh.wefts.values().stream().filter(w -> !w.sessionOpen()).count());
+                    mesh.wefts.values().stream().filter(w -> !w.hasSession()).count());
             ObjectNode[] status = new ObjectNode[1];
             mesh.helms.get(slow).serve("status", JsonNodeFactory.instance.objectNode(), n -> status[0] = n);
             if (status[0].path("strained").asBoolean()) {
--- a/src/test/java/bramblespool/MajorityTest.java
+++ b/src/test/java/bramblespool/MajorityTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.HelmCore;
+import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.protocol.Orders;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
@@ -54,7 +54,7 @@
         for (long seed = 1; seed <= 4 * SEEDS; seed++) {
             SimMesh mesh = mesh(seed, 3, 1);
             String old = leader(mesh);
-            HelmCore cutOff = mesh.helms.get(old);
+            ControllerNode cutOff = mesh.helms.get(old);
             mesh.world.run(mesh.world.random.nextInt(300));
             for (String h : mesh.helms.keySet()) {
                 mesh.world.cut(old, h, !h.equals(old));
@@ -62,9 +62,9 @@
             }
             Orders.Outcome[] taken = new Orders.Outcome[1];
             for (int i = 0; i < 400 && (taken[0] == null || taken[0].status() != 200); i++) {
-                for (HelmCore h : mesh.helms.values()) {
+                for (ControllerNode h : mesh.helms.values()) {
                     if (h != cutOff && h.raft.isLeader()) {
-                        h.change(SimMesh.change(6, 5, "v6"), o -> taken[0] = o);
+                        h.submitChange(SimMesh.change(6, 5, "v6"), o -> taken[0] = o);
                     }
                 }
                 mesh.world.run(10);
@@ -74,16 +74,16 @@
             if (cutOff.raft.isLeader()) {
                 asked++;
             }
-            cutOff.change(SimMesh.change(7, 6, "v7"), o -> said.add(o.status()));
-            cutOff.change(SimMesh.change(8, 5, "v8"), o -> said.add(o.status()));
-            cutOff.change(SimMesh.change(5, 0, "v5"), o -> said.add(o.status()));
-            cutOff.read(v -> said.add(v == null ? 503 : 200));
+            cutOff.submitChange(SimMesh.change(7, 6, "v7"), o -> said.add(o.status()));
+            cutOff.submitChange(SimMesh.change(8, 5, "v8"), o -> said.add(o.status()));
+            cutOff.submitChange(SimMesh.change(5, 0, "v5"), o -> said.add(o.status()));
+            cutOff.readConfiguration(v -> said.add(v == null ? 503 : 200));
             cutOff.evacuate("a", false, ok -> said.add(ok ? 200 : 503));
             mesh.world.run(4000);
             assertEquals(List.of(503, 503, 503, 503, 503), said, "seed " + seed);
             mesh.world.isolate(old, false);
             mesh.world.run(3000);
-            assertEquals(6, mesh.leader().ledger().current().epoch());
+            assertEquals(6, mesh.leader().replicatedState().current().epoch());
         }
         assertTrue(oneWay || asked > SEEDS, "it still took itself for the leader in " + asked);
     }
@@ -93,7 +93,7 @@
     void theKnownLeaderLapses() {
         SimMesh mesh = mesh(3, 3, 1);
         String old = leader(mesh);
-        HelmCore other = mesh.helms.values().stream()
+        ControllerNode other = mesh.helms.values().stream()
                 .filter(h -> !h.raft.isLeader())
                 .findFirst()
                 .orElseThrow();
@@ -192,10 +192,10 @@
                 "its place is taken");
         mesh.world.isolate(away, false);
         mesh.world.run(3000);
-        assertEquals(6, mesh.helms.get(away).ledger().current().epoch());
+        assertEquals(6, mesh.helms.get(away).replicatedState().current().epoch());
         assertEquals(200, order(mesh, 7, 6).status());
         mesh.world.run(500);
-        assertEquals(7, mesh.helms.get(away).ledger().current().epoch());
+        assertEquals(7, mesh.helms.get(away).replicatedState().current().epoch());
     }
 
     /** SIGTERM: the lead goes to another one at once, and the leaver's place to a spare one where there is one. */
@@ -209,13 +209,13 @@
                     .filter(v -> v.equals(leader(mesh)) == leads)
                     .findFirst()
                     .orElseThrow();
-            HelmCore h = mesh.helms.get(leaver);
+            ControllerNode h = mesh.helms.get(leaver);
             long term = mesh.leader().raft.currentTerm();
             h.leave();
-            for (int i = 0; i < 200 && !h.left(); i++) {
+            for (int i = 0; i < 200 && !h.hasLeft(); i++) {
                 mesh.world.run(10);
             }
-            assertTrue(h.left(), "it may go, seed " + seed);
+            assertTrue(h.hasLeft(), "it may go, seed " + seed);
             assertEquals(leads ? term + 1 : term, mesh.leader().raft.currentTerm(), "one election at most");
             mesh.killHelm(leaver, true);
             mesh.world.machine(leaver).disk.wipe();
@@ -247,11 +247,11 @@
             mesh.order(SimMesh.change(6, 5, "rival" + i), o -> said.add(o.status()));
         }
         mesh.order(SimMesh.change(6, 5, "rival0"), o -> said.add(o.status()));
-        for (int i = 0; i < 4000 && mesh.leader().ledger().current().epoch() < 6; i++) {
+        for (int i = 0; i < 4000 && mesh.leader().replicatedState().current().epoch() < 6; i++) {
             mesh.world.run(1);
         }
         mesh.world.run(50);
-        assertTrue(mesh.leader().ledger().phase() != ReplicatedState.Phase.MARKED, "phases are still to come");
+        assertTrue(mesh.leader().replicatedState().phase() != ReplicatedState.Phase.MARKED, "phases are still to come");
         assertEquals(
                 List.of(200, 200, 412, 412, 412, 412, 412, 412, 412),
                 said.stream().sorted().toList());
@@ -271,7 +271,7 @@
         }
         mesh.world.run(200);
         assertEquals(List.of(true, true, true, true, true), said);
-        assertTrue(mesh.leader().ledger().evacuations().get("a").isEvacuated());
+        assertTrue(mesh.leader().replicatedState().evacuations().get("a").isEvacuated());
     }
 
     /** However the votes fall, somebody leads soon after a leader's loss. */
--- a/src/test/java/bramblespool/MeteringTest.java
+++ b/src/test/java/bramblespool/MeteringTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -46,10 +46,10 @@
     /** Some runs begin somewhere. */
     private void traffic() {
         for (int i = 0; i < 3; i++) {
-            WeftCore w = mesh.wefts.get(SimMesh.weftPeer(random.nextInt(SIDES)));
+            DataPlaneNode w = mesh.wefts.get(SimMesh.weftPeer(random.nextInt(SIDES)));
             if (w != null) {
                 String tenant = "t" + random.nextInt(4);
-                w.tally.begin(tenant);
+                w.usageCounter.recordRun(tenant);
                 truth.computeIfAbsent(now() / WINDOW, k -> new HashMap<>()).merge(tenant, 1, Integer::sum);
             }
         }
--- a/src/test/java/bramblespool/OperationTest.java
+++ b/src/test/java/bramblespool/OperationTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.Entry;
-import bramblespool.coordination.Operations;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.coordination.tenancy.IdempotencyTable;
+import bramblespool.coordination.tenancy.RequestAdmission;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
 import bramblespool.state.EventLog;
@@ -35,7 +35,7 @@
     private int served;
     private int repeated;
 
-    private WeftCore side(int i) {
+    private DataPlaneNode side(int i) {
         return mesh.wefts.get(SimMesh.weftPeer(i));
     }
 
@@ -47,21 +47,22 @@
 
     /** One try at a side, as the role there takes it: what was let through reaches a server, is refused, or is lost. */
     private void attempt(int at, String key, java.util.function.IntConsumer told) {
-        WeftCore w = side(at);
+        DataPlaneNode w = side(at);
         if (w == null) {
             return;
         }
         SimWorld.Machine m = mesh.world.machine(SimMesh.weftPeer(at));
-        new Entry(w, EventLog.silent())
-                .enter(
-                        new Entry.Who("t", null, 1, w.admission.register("t", key), key.hashCode()),
+        new RequestAdmission(w, EventLog.silent())
+                .admit(
+                        new RequestAdmission.AdmissionRequest(
+                                "t", null, 1, w.admissionClient.registerId("t", key), key.hashCode()),
                         400,
-                        new Entry.Taker() {
+                        new RequestAdmission.AdmissionHandler() {
                             @Override
-                            public void go(Operations.Operation o) {
+                            public void proceed(IdempotencyTable.Operation o) {
                                 int what = random.nextInt(10);
                                 if (what < 2) {
-                                    w.operations.idle(o);
+                                    w.idempotencyTable.markIdle(o);
                                     told.accept(503);
                                     return;
                                 }
@@ -69,14 +70,14 @@
                                 // The answer, if any, comes while this process lives.
                                 m.after(20 + random.nextInt(200), () -> {
                                     if (what < 3) {
-                                        w.operations.unknown(o);
+                                        w.idempotencyTable.markUnknown(o);
                                         told.accept(502);
                                     } else {
                                         String body = key + " " + mesh.world.now();
                                         answers.putIfAbsent(key, body);
-                                        w.operations.answered(
+                                        w.idempotencyTable.recordResponse(
                                                 o,
-                                                new Operations.Answer(
+                                                new IdempotencyTable.StoredResponse(
                                                         200, List.of("X-Server-Seal", "s"), body.getBytes()));
                                         served++;
                                         told.accept(200);
@@ -85,12 +86,12 @@
                             }
 
                             @Override
-                            public void refuse(int status, long retryMs, String why) {
+                            public void reject(int status, long retryMs, String why) {
                                 told.accept(status);
                             }
 
                             @Override
-                            public void answer(Operations.Answer a) {
+                            public void replay(IdempotencyTable.StoredResponse a) {
                                 repeated++;
                                 assertEquals(answers.get(key), new String(a.body()), "a repeat gets the first answer");
                                 told.accept(200);
@@ -220,30 +221,31 @@
     private int asked;
 
     private void ask(int at, String tenant, double rate, Runnable refused) {
-        WeftCore w = side(at);
+        DataPlaneNode w = side(at);
         if (w == null) {
             return;
         }
         asked++;
-        new Entry(w, EventLog.silent())
-                .enter(
-                        new Entry.Who(tenant, new RoutingConfiguration.Tenant(tenant, -1, rate, BURST), 1, null, 0),
+        new RequestAdmission(w, EventLog.silent())
+                .admit(
+                        new RequestAdmission.AdmissionRequest(
+                                tenant, new RoutingConfiguration.Tenant(tenant, -1, rate, BURST), 1, null, 0),
                         300,
-                        new Entry.Taker() {
+                        new RequestAdmission.AdmissionHandler() {
                             @Override
-                            public void go(Operations.Operation o) {
+                            public void proceed(IdempotencyTable.Operation o) {
                                 if (tenant.equals("hot")) {
                                     grants.add(mesh.world.now());
                                 }
                             }
 
                             @Override
-                            public void refuse(int status, long retryMs, String why) {
+                            public void reject(int status, long retryMs, String why) {
                                 refused.run();
                             }
 
                             @Override
-                            public void answer(Operations.Answer a) {}
+                            public void replay(IdempotencyTable.StoredResponse a) {}
                         });
     }
 
--- a/src/test/java/bramblespool/RegisterTest.java
+++ b/src/test/java/bramblespool/RegisterTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.HelmCore;
-import bramblespool.coordination.Registers.Outcome;
+import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.register.RegisterProposer.Outcome;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
 import java.util.ArrayList;
@@ -28,7 +28,7 @@
         final String instead;
         final long from;
         long to = Long.MAX_VALUE;
-        Outcome outcome = Outcome.UNSURE;
+        Outcome outcome = Outcome.UNKNOWN;
 
         Op(String value, String instead, long from) {
             this.value = value;
@@ -53,7 +53,7 @@
         boolean rest = false;
         long first = Long.MAX_VALUE;
         for (int i = 0; i < ops.size(); i++) {
-            if ((done & 1 << i) == 0 && ops.get(i).outcome == Outcome.WON) {
+            if ((done & 1 << i) == 0 && ops.get(i).outcome == Outcome.CHOSEN) {
                 rest = true;
                 first = Math.min(first, ops.get(i).to);
             }
@@ -86,17 +86,32 @@
 
     @Test
     void theCheckerTellsHistoriesApart() {
-        assertTrue(linearizable(history("a", null, 0, 5, Outcome.WON, "b", "a", 6, 9, Outcome.WON)));
+        assertTrue(linearizable(history("a", null, 0, 5, Outcome.CHOSEN, "b", "a", 6, 9, Outcome.CHOSEN)));
         assertTrue(
-                !linearizable(history("a", null, 0, 5, Outcome.WON, "b", null, 6, 9, Outcome.WON)), "two claims won");
+                !linearizable(history("a", null, 0, 5, Outcome.CHOSEN, "b", null, 6, 9, Outcome.CHOSEN)),
+                "two claims won");
         assertTrue(
-                !linearizable(history("b", "a", 0, 5, Outcome.WON, "a", null, 6, 9, Outcome.WON)),
+                !linearizable(history("b", "a", 0, 5, Outcome.CHOSEN, "a", null, 6, 9, Outcome.CHOSEN)),
                 "in the wrong order");
-        assertTrue(linearizable(
-                history("a", null, 0, 5, Outcome.UNSURE, "b", "a", 6, 9, Outcome.WON, "c", "b", 10, 12, Outcome.WON)));
+        assertTrue(linearizable(history(
+                "a", null, 0, 5, Outcome.UNKNOWN, "b", "a", 6, 9, Outcome.CHOSEN, "c", "b", 10, 12, Outcome.CHOSEN)));
         assertTrue(
                 !linearizable(history(
-                        "a", null, 0, 5, Outcome.UNSURE, "b", null, 6, 9, Outcome.WON, "c", "a", 10, 12, Outcome.WON)),
+                        "a",
+                        null,
+                        0,
+                        5,
+                        Outcome.UNKNOWN,
+                        "b",
+                        null,
+                        6,
+                        9,
+                        Outcome.CHOSEN,
+                        "c",
+                        "a",
+                        10,
+                        12,
+                        Outcome.CHOSEN)),
                 "an unsure one cannot have come between what it does not fit");
     }
 
@@ -104,10 +119,10 @@
     private SimMesh mesh;
     private int values;
 
-    private void propose(HelmCore at, String id, String instead, java.util.function.Consumer<Op> then) {
+    private void propose(ControllerNode at, String id, String instead, java.util.function.Consumer<Op> then) {
         Op o = new Op("side " + ++values, instead, mesh.world.now());
         histories.computeIfAbsent(id, i -> new ArrayList<>()).add(o);
-        at.registers.set(id, o.value, instead, 400, r -> {
+        at.registerProposer.compareAndSet(id, o.value, instead, 400, r -> {
             o.to = mesh.world.now();
             o.outcome = r.outcome();
             then.accept(o);
@@ -167,7 +182,7 @@
                     String instead = given.get(id);
                     propose(mesh.helms.get(peer), id, instead, o -> {
                         // Some of those who won give their claim away again, for others to replace.
-                        if (o.outcome == Outcome.WON && random.nextInt(3) == 0) {
+                        if (o.outcome == Outcome.CHOSEN && random.nextInt(3) == 0) {
                             given.put(id, o.value);
                         }
                     });
@@ -177,7 +192,9 @@
         }
         long won = 0;
         for (Map.Entry<String, List<Op>> h : histories.entrySet()) {
-            won += h.getValue().stream().filter(o -> o.outcome == Outcome.WON).count();
+            won += h.getValue().stream()
+                    .filter(o -> o.outcome == Outcome.CHOSEN)
+                    .count();
             assertTrue(
                     linearizable(h.getValue()),
                     () -> "seed " + seed + ", " + h.getKey() + ": "
@@ -192,8 +209,8 @@
     private Outcome set(String id, String value, String instead) {
         Outcome[] got = new Outcome[1];
         // Whoever lives may be asked.
-        HelmCore at = mesh.helms.values().iterator().next();
-        at.registers.set(id, value, instead, 1500, r -> got[0] = r.outcome());
+        ControllerNode at = mesh.helms.values().iterator().next();
+        at.registerProposer.compareAndSet(id, value, instead, 1500, r -> got[0] = r.outcome());
         for (int i = 0; i < 100 && got[0] == null; i++) {
             mesh.world.run(20);
         }
@@ -207,7 +224,7 @@
             mesh = new SimMesh(90 + lost, 4, 0);
             mesh.world.run(4000);
             for (int i = 0; i < 12; i++) {
-                assertEquals(Outcome.WON, set(i + "/k", "first " + i, fast ? null : "none"));
+                assertEquals(Outcome.CHOSEN, set(i + "/k", "first " + i, fast ? null : "none"));
             }
             for (int i = 0; i < 4; i++) {
                 mesh.killHelm(SimMesh.helmPeer(i), true);
@@ -218,7 +235,7 @@
             }
             mesh.world.run(8000);
             for (int i = 0; i < 12; i++) {
-                assertEquals(Outcome.HELD, set(i + "/k", "second " + i, null), "disk " + lost + " lost");
+                assertEquals(Outcome.CONFLICT, set(i + "/k", "second " + i, null), "disk " + lost + " lost");
             }
         }
     }
@@ -229,18 +246,19 @@
         mesh = new SimMesh(7, 3, 0);
         mesh.world.run(4000);
         for (int i = 0; i < 8; i++) {
-            assertEquals(Outcome.WON, set(i + "/k", "first " + i, null));
+            assertEquals(Outcome.CHOSEN, set(i + "/k", "first " + i, null));
         }
         for (int lost = 0; lost < 3; lost++) {
             mesh.killHelm(SimMesh.helmPeer(lost), true);
             mesh.world.machine(SimMesh.helmPeer(lost)).disk.wipe();
             mesh.startHelm(SimMesh.helmPeer(lost), false);
             mesh.world.run(12_000);
-            assertTrue(mesh.helms.get(SimMesh.helmPeer(lost)).registers.settled(), "the new voter has read them");
+            assertTrue(
+                    mesh.helms.get(SimMesh.helmPeer(lost)).registerProposer.isSynced(), "the new voter has read them");
             assertEquals(3, mesh.leader().raft.voters().size());
         }
         for (int i = 0; i < 8; i++) {
-            assertEquals(Outcome.HELD, set(i + "/k", "second " + i, null));
+            assertEquals(Outcome.CONFLICT, set(i + "/k", "second " + i, null));
         }
     }
 
@@ -252,12 +270,12 @@
         mesh.helms.values().forEach(h -> {
             long before = mesh.world.messages;
             boolean[] won = new boolean[1];
-            h.registers.set(
+            h.registerProposer.compareAndSet(
                     "5/k" + mesh.helms.size() + h.raft.localId(),
                     "a",
                     null,
                     400,
-                    r -> won[0] = r.outcome() == Outcome.WON);
+                    r -> won[0] = r.outcome() == Outcome.CHOSEN);
             mesh.world.run(60);
             assertTrue(won[0]);
             least[0] = Math.min(least[0], mesh.world.messages - before);
@@ -265,6 +283,6 @@
         // Two messages for the claim itself; the rest is what helms say to each other all the time.
         assertTrue(least[0] <= 8, least[0] + " messages");
         mesh.world.run(100_000);
-        mesh.helms.values().forEach(h -> assertEquals(0, h.registers.held(), "forgotten"));
+        mesh.helms.values().forEach(h -> assertEquals(0, h.registerProposer.registerCount(), "forgotten"));
     }
 }
--- a/src/test/java/bramblespool/TermTest.java
+++ b/src/test/java/bramblespool/TermTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.HelmCore;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.protocol.Orders;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
@@ -91,11 +91,11 @@
 
     private static void settle(SimMesh mesh) {
         for (int i = 0; i < 400; i++) {
-            HelmCore l = mesh.leader();
+            ControllerNode l = mesh.leader();
             if (l != null
-                    && l.ledger().candidate() == null
-                    && l.ledger().phase() == ReplicatedState.Phase.MARKED
-                    && mesh.wefts.values().stream().allMatch(WeftCore::sessionOpen)) {
+                    && l.replicatedState().candidate() == null
+                    && l.replicatedState().phase() == ReplicatedState.Phase.MARKED
+                    && mesh.wefts.values().stream().allMatch(DataPlaneNode::hasSession)) {
                 break;
             }
             mesh.world.run(50);
@@ -133,7 +133,7 @@
         mesh.world.keeper = (from, to, kind, m, deliver) -> false;
         mesh.world.isolate(away, false);
         settle(mesh);
-        long base = mesh.leader().ledger().current().epoch();
+        long base = mesh.leader().replicatedState().current().epoch();
         assertEquals(phase < 2 ? 5 : 7, base);
         // A rival of the same number where that can be.
         long next = r.nextBoolean() ? base + 1 : Math.max(7, base + 1);
@@ -168,11 +168,11 @@
         late.forEach(m -> mesh.world.at(from + r.nextInt(4), m));
         mesh.world.run(1500);
         assertEquals(200, got[0].status(), got[0].word());
-        assertEquals(Set.of(), mesh.leader().commit.unconfirmed(), "late from " + from);
+        assertEquals(Set.of(), mesh.leader().commitCoordinator.unconfirmed(), "late from " + from);
         mesh.wefts.forEach((p, w) -> {
-            assertEquals(epoch, w.shadow.epoch(), p);
-            assertNotNull(w.shadow.real().route("x.example", "/won/"), p);
-            assertFalse(w.shadow.tagging(), p);
+            assertEquals(epoch, w.shadowCommit.epoch(), p);
+            assertNotNull(w.shadowCommit.realConfiguration().route("x.example", "/won/"), p);
+            assertFalse(w.shadowCommit.isTagging(), p);
         });
     }
 
@@ -201,7 +201,7 @@
         assertTrue(second[0] > 0);
         assertEquals(
                 Set.of(status(mesh, away).path("node").asText()),
-                mesh.leader().commit.unconfirmed());
+                mesh.leader().commitCoordinator.unconfirmed());
     }
 
     /**
@@ -237,17 +237,17 @@
             mesh.world.cut(peer, cut, false);
             mesh.world.run(r.nextInt(1000));
             mesh.startWeft(peer);
-            WeftCore w = mesh.wefts.get(peer);
+            DataPlaneNode w = mesh.wefts.get(peer);
             boolean[] there = new boolean[1];
             mesh.world.afterEach = () -> {
-                there[0] |= w.sessionOpen() && w.helm().equals(cut);
-                if (w.ready() && (w.shadow.epoch() < 6 || !w.fleet.evacuated("b"))) {
-                    broken.add(peer + " ready with " + w.shadow.epoch() + ", evacuated " + w.fleet.evacuated("b")
-                            + " at " + mesh.world.now());
+                there[0] |= w.hasSession() && w.controller().equals(cut);
+                if (w.isReady() && (w.shadowCommit.epoch() < 6 || !w.endpointDirectory.isEvacuated("b"))) {
+                    broken.add(peer + " ready with " + w.shadowCommit.epoch() + ", evacuated "
+                            + w.endpointDirectory.isEvacuated("b") + " at " + mesh.world.now());
                 }
             };
             mesh.world.run(QUIET);
-            assertTrue(w.ready(), peer);
+            assertTrue(w.isReady(), peer);
             atCut += there[0] ? 1 : 0;
             mesh.world.cut(cut, peer, true);
             mesh.world.cut(peer, cut, true);
@@ -280,14 +280,14 @@
         });
         mesh.world.run(r.nextInt(900));
         mesh.startWeft(peer);
-        WeftCore w = mesh.wefts.get(peer);
+        DataPlaneNode w = mesh.wefts.get(peer);
         long started = mesh.world.now();
-        for (int n = 0; n < 200 && w.shadow.epoch() < 6; n++) {
+        for (int n = 0; n < 200 && w.shadowCommit.epoch() < 6; n++) {
             mesh.world.run(50);
             if (n % 10 == 0 && decided[0] == Long.MAX_VALUE) {
                 mesh.helms.forEach((p, h) -> {
                     if (h.raft.isLeader() && !p.equals(cut)) {
-                        h.change(SimMesh.change(6, 5, "two"), o -> {
+                        h.submitChange(SimMesh.change(6, 5, "two"), o -> {
                             if (o.status() == 200) {
                                 decided[0] = Math.min(decided[0], mesh.world.now());
                             }
@@ -296,7 +296,7 @@
                 });
             }
         }
-        assertEquals(6, w.shadow.epoch());
+        assertEquals(6, w.shadowCommit.epoch());
         long behind = mesh.world.now() - Math.max(started, decided[0]);
         assertTrue(behind <= QUIET * 2 / 3, "behind for " + behind);
     }
@@ -324,7 +324,7 @@
         assertTrue(
                 mesh.leader().raft.currentTerm() > high,
                 mesh.leader().raft.currentTerm() + " leads, " + high + " was known");
-        long base = mesh.leader().ledger().current().epoch();
+        long base = mesh.leader().replicatedState().current().epoch();
         commits(mesh, base + 1, base, List.of());
     }
 
@@ -363,7 +363,9 @@
             JsonNode a = ask(mesh, p, "phase", m);
             assertFalse(a.path("ok").asBoolean(), p);
             assertEquals(now, a.path("term").asLong(), p);
-            assertTrue(w.shadow.shadow() == null || w.shadow.shadow().epoch != 6, p + " has the late candidate");
+            assertTrue(
+                    w.shadowCommit.shadowConfiguration() == null || w.shadowCommit.shadowConfiguration().epoch != 6,
+                    p + " has the late candidate");
         });
     }
 
@@ -401,8 +403,8 @@
             });
         };
         for (int round = 0; round < 12; round++) {
-            HelmCore l = mesh.leader();
-            long base = l.ledger().current().epoch();
+            ControllerNode l = mesh.leader();
+            long base = l.replicatedState().current().epoch();
             mesh.order(SimMesh.change(base + 1, base, "p" + round), o -> {});
             mesh.world.run(r.nextInt(200));
             String peer = r.nextBoolean() ? leader(mesh) : SimMesh.helmPeer(r.nextInt(helms));
@@ -437,8 +439,8 @@
             settle(mesh);
             commits(
                     mesh,
-                    mesh.leader().ledger().current().epoch() + 1,
-                    mesh.leader().ledger().current().epoch(),
+                    mesh.leader().replicatedState().current().epoch() + 1,
+                    mesh.leader().replicatedState().current().epoch(),
                     List.of());
         }
     }
@@ -449,14 +451,17 @@
     void aCellThatThawsPutsNothingOldInForce(int phase, long seed) {
         SimMesh mesh = mesh(seed, 3, 6);
         Random r = mesh.world.random;
-        Map<WeftCore, Long> highest = new IdentityHashMap<>();
+        Map<DataPlaneNode, Long> highest = new IdentityHashMap<>();
         Map<Long, String> inForce = new HashMap<>();
         List<String> broken = new ArrayList<>();
         mesh.world.afterEach = () -> mesh.wefts.forEach((p, w) -> {
-            long e = w.shadow.epoch();
+            long e = w.shadowCommit.epoch();
             if (e < highest.getOrDefault(w, 0L)
-                    || !w.shadow.real().stamp.equals(inForce.computeIfAbsent(e, k -> w.shadow.real().stamp))) {
-                broken.add(p + " has " + e + " of " + w.shadow.real().stamp);
+                    || !w.shadowCommit
+                            .realConfiguration()
+                            .stamp
+                            .equals(inForce.computeIfAbsent(e, k -> w.shadowCommit.realConfiguration().stamp))) {
+                broken.add(p + " has " + e + " of " + w.shadowCommit.realConfiguration().stamp);
             }
             highest.put(w, e);
         });
@@ -488,13 +493,13 @@
         for (int i = 0; i < 60 && mesh.leader() == null; i++) {
             mesh.world.run(50);
         }
-        long base = mesh.leader().ledger().current().epoch();
+        long base = mesh.leader().replicatedState().current().epoch();
         mesh.order(SimMesh.change(8, base, "won"), o -> {});
         mesh.world.run(4000);
         settle(mesh);
         assertEquals(List.of(), broken);
-        long now = mesh.leader().ledger().current().epoch();
-        mesh.wefts.forEach((p, w) -> assertEquals(now, w.shadow.epoch(), p));
+        long now = mesh.leader().replicatedState().current().epoch();
+        mesh.wefts.forEach((p, w) -> assertEquals(now, w.shadowCommit.epoch(), p));
         commits(mesh, now + 1, now, List.of());
     }
 
@@ -524,24 +529,26 @@
         List<String> broken = new ArrayList<>();
         mesh.world.afterEach = () -> mesh.wefts.forEach((p, w) -> {
             if (!with.contains(p)
-                    && (w.shadow.epoch() < 6
-                            || w.fleet.evacuated("b")
-                            || w.news.get("order").life() < 6)) {
-                broken.add(p + " has " + w.shadow.epoch() + ", evacuated " + w.fleet.evacuated("b"));
+                    && (w.shadowCommit.epoch() < 6
+                            || w.endpointDirectory.isEvacuated("b")
+                            || w.gossip.get("order").incarnation() < 6)) {
+                broken.add(
+                        p + " has " + w.shadowCommit.epoch() + ", evacuated " + w.endpointDirectory.isEvacuated("b"));
             }
         });
         mesh.world.isolate(cut, false);
         with.forEach(p -> mesh.world.isolate(p, false));
         mesh.world.run(QUIET);
         assertEquals(List.of(), broken);
-        mesh.wefts.forEach((p, w) -> assertTrue(w.shadow.epoch() == 6 && !w.fleet.evacuated("b"), p));
+        mesh.wefts.forEach(
+                (p, w) -> assertTrue(w.shadowCommit.epoch() == 6 && !w.endpointDirectory.isEvacuated("b"), p));
     }
 
     /** A document is asked for by number and stamp: who has another one of that number has nothing to give. */
     @Test
     void aDocumentIsOneByNumberAndStamp() {
         SimMesh mesh = mesh(4, 3, 4);
-        String stamp = mesh.wefts.get(SimMesh.weftPeer(0)).shadow.real().stamp;
+        String stamp = mesh.wefts.get(SimMesh.weftPeer(0)).shadowCommit.realConfiguration().stamp;
         ObjectNode right = JsonNodeFactory.instance.objectNode().put("epoch", 5).put("stamp", stamp);
         ObjectNode wrong =
                 JsonNodeFactory.instance.objectNode().put("epoch", 5).put("stamp", document(5, "rival").stamp);
@@ -575,10 +582,10 @@
         mesh.world.isolate(away, false);
         mesh.world.run(2000);
         assertTrue(asked[0] > 0);
-        assertEquals(5, mesh.wefts.get(away).shadow.epoch(), "no rival of the number wanted");
+        assertEquals(5, mesh.wefts.get(away).shadowCommit.epoch(), "no rival of the number wanted");
         all.forEach((p, s) -> mesh.world.machine(p).serve(s));
         mesh.world.run(3000);
-        assertNotNull(mesh.wefts.get(away).shadow.real().route("x.example", "/two/"));
+        assertNotNull(mesh.wefts.get(away).shadowCommit.realConfiguration().route("x.example", "/two/"));
     }
 
     /** With the core gone a side that starts serves what the others know and says that nobody could confirm it. */
@@ -600,13 +607,13 @@
         mesh.killWeft(peer);
         mesh.world.run(QUIET);
         mesh.startWeft(peer);
-        WeftCore w = mesh.wefts.get(peer);
-        for (int i = 0; i < 2 * QUIET && w.shadow.epoch() < 5; i += 10) {
+        DataPlaneNode w = mesh.wefts.get(peer);
+        for (int i = 0; i < 2 * QUIET && w.shadowCommit.epoch() < 5; i += 10) {
             mesh.world.run(10);
         }
-        assertEquals(5, w.shadow.epoch());
+        assertEquals(5, w.shadowCommit.epoch());
         mesh.world.run(QUIET / 10);
-        assertTrue(w.ready(), "ready as soon as it has what the others know");
+        assertTrue(w.isReady(), "ready as soon as it has what the others know");
         assertFalse(status(mesh, peer).path("confirmed").asBoolean());
         all.forEach(h -> {
             if (killed) {
@@ -616,7 +623,7 @@
             }
         });
         mesh.world.run(QUIET * 2);
-        assertTrue(w.ready() && status(mesh, peer).path("confirmed").asBoolean());
+        assertTrue(w.isReady() && status(mesh, peer).path("confirmed").asBoolean());
     }
 
     /** A quiet fleet says nothing more for all this: nobody asks anew who is in touch, and no documents travel. */
@@ -636,15 +643,16 @@
         SimPlatform platform = new SimPlatform();
         SimMesh mesh = SimMesh.metered(seed, 4, 4, platform);
         mesh.world.run(30_000);
-        long fence = mesh.leader().ledger().singletonRoles().get("usage").fencingToken();
+        long fence =
+                mesh.leader().replicatedState().singletonRoles().get("usage").fencingToken();
         int[] lost = new int[1];
         mesh.world.keeper = (from, to, kind, m, deliver) -> kind.equals("raise") && lost[0]++ == 0;
-        platform.answer =
-                () -> mesh.leader().ledger().singletonRoles().get("usage").fencingToken() == fence ? 409 : null;
+        platform.answer = () ->
+                mesh.leader().replicatedState().singletonRoles().get("usage").fencingToken() == fence ? 409 : null;
         mesh.world.run(30_000);
         assertTrue(platform.reports.stream().anyMatch(c -> c.code() == 409));
         assertTrue(
-                mesh.leader().ledger().singletonRoles().get("usage").fencingToken() > fence,
+                mesh.leader().replicatedState().singletonRoles().get("usage").fencingToken() > fence,
                 "a higher fence, " + lost[0] + " words for it");
     }
 
@@ -655,7 +663,7 @@
         SimMesh mesh = mesh(seed, 3, 6);
         Random r = mesh.world.random;
         String old = leader(mesh);
-        HelmCore deposed = mesh.leader();
+        ControllerNode deposed = mesh.leader();
         mesh.world.isolate(SimMesh.weftPeer(r.nextInt(6)), phase == 0);
         int[] said = new int[1];
         List<String> broken = new ArrayList<>();
@@ -686,7 +694,8 @@
     void aWordForAHigherFenceCountsInItsTerm() {
         SimMesh mesh = SimMesh.metered(1, 4, 4, new SimPlatform());
         mesh.world.run(20_000);
-        long fence = mesh.leader().ledger().singletonRoles().get("usage").fencingToken();
+        long fence =
+                mesh.leader().replicatedState().singletonRoles().get("usage").fencingToken();
         long term = mesh.leader().raft.currentTerm();
         ObjectNode m = JsonNodeFactory.instance.objectNode().put("key", "usage").put("fence", fence);
         assertEquals(
@@ -695,9 +704,11 @@
                         .path("term")
                         .asLong());
         mesh.world.run(1000);
-        assertEquals(fence, mesh.leader().ledger().singletonRoles().get("usage").fencingToken());
+        assertEquals(
+                fence,
+                mesh.leader().replicatedState().singletonRoles().get("usage").fencingToken());
         ask(mesh, leader(mesh), "raise", m.put("term", term));
         mesh.world.run(1000);
-        assertTrue(mesh.leader().ledger().singletonRoles().get("usage").fencingToken() > fence);
+        assertTrue(mesh.leader().replicatedState().singletonRoles().get("usage").fencingToken() > fence);
     }
 }
--- a/src/test/java/bramblespool/coordination/Neighbour.java
+++ b/src/test/java/bramblespool/coordination/Neighbour.java
@@ -1,5 +1,6 @@
 package bramblespool.coordination;
 
+import bramblespool.coordination.tenancy.AdmissionClient;
 import java.util.stream.IntStream;
 
 /** Names of tenants that are counted together, for tests. */
@@ -10,7 +11,7 @@
     public static String of(String tenant) {
         return IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "near" + i)
-                .filter(t -> Admission.slice(t).equals(Admission.slice(tenant)))
+                .filter(t -> AdmissionClient.shardOf(t).equals(AdmissionClient.shardOf(tenant)))
                 .findFirst()
                 .orElseThrow();
     }
--- a/src/test/java/bramblespool/model/Door.java
+++ b/src/test/java/bramblespool/model/Door.java
@@ -1,6 +1,6 @@
 package bramblespool.model;
 
-import bramblespool.coordination.HelmCore;
+import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.protocol.Orders;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Wire;
@@ -14,10 +14,10 @@
 final class Door implements Wire.Service {
     static final String KIND = "operator";
 
-    private final HelmCore helm;
+    private final ControllerNode helm;
     private final Play play;
 
-    Door(HelmCore helm, Play play) {
+    Door(ControllerNode helm, Play play) {
         this.helm = helm;
         this.play = play;
     }
@@ -35,7 +35,7 @@
         }
         switch (m.path("do").asText()) {
             case "read" ->
-                helm.read(v -> {
+                helm.readConfiguration(v -> {
                     if (v != null) {
                         play.history.read(v.epoch(), m.path("began").asLong(), play.step());
                     }
@@ -67,7 +67,7 @@
             throw new IllegalStateException(e);
         }
         History.Change sent = play.operators.changes.get(m.path("name").asInt());
-        helm.change(change, o -> {
+        helm.submitChange(change, o -> {
             if (o.status() == 200) {
                 play.history.taken(sent, play.step());
                 play.invariants.acknowledged(sent);
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -1,7 +1,7 @@
 package bramblespool.model;
 
-import bramblespool.coordination.HelmCore;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
 import bramblespool.state.DurableStore;
@@ -40,9 +40,9 @@
     private final Map<Place, Content> entries = new HashMap<>();
     private final Map<Long, DurableStore.LogEntry> agreed = new HashMap<>();
     private final Map<Long, String> states = new HashMap<>();
-    private final Map<HelmCore, Long> applied = new IdentityHashMap<>();
-    private final Map<HelmCore, Long> led = new IdentityHashMap<>();
-    private final Map<WeftCore, Long> epochs = new IdentityHashMap<>();
+    private final Map<ControllerNode, Long> applied = new IdentityHashMap<>();
+    private final Map<ControllerNode, Long> led = new IdentityHashMap<>();
+    private final Map<DataPlaneNode, Long> epochs = new IdentityHashMap<>();
     private final Map<Long, String> stamps = new HashMap<>();
     private final Map<DurableStore.PersistentState, Long> lost = new IdentityHashMap<>();
     private long highestAcked;
@@ -261,7 +261,7 @@
     // ---- after each event
 
     void check() {
-        for (HelmCore h : mesh.helms.values()) {
+        for (ControllerNode h : mesh.helms.values()) {
             long at = RaftView.applied(h);
             Long before = applied.get(h);
             if (before == null || before != at) {
@@ -269,7 +269,7 @@
                     throw new Broken("AgreedStays", RaftView.member(h) + " goes back from " + before + " to " + at);
                 }
                 applied.put(h, at);
-                JsonNode s = h.ledger().snapshot();
+                JsonNode s = h.replicatedState().snapshot();
                 state(at, s.toString(), RaftView.member(h));
                 Map<String, Long> versions = new LinkedHashMap<>();
                 s.path("taken")
@@ -277,8 +277,8 @@
                         .forEachRemaining(
                                 f -> versions.put(f.getKey(), f.getValue().asLong()));
                 history.agreed(versions);
-                stamp(h.ledger().current());
-                stamp(h.ledger().previous());
+                stamp(h.replicatedState().current());
+                stamp(h.replicatedState().previous());
             }
             if (RaftView.leads(h)) {
                 Long term = led.get(h);
@@ -309,18 +309,18 @@
         }
     }
 
-    private void beginsToLead(HelmCore h) {
+    private void beginsToLead(ControllerNode h) {
         leads(RaftView.term(h), RaftView.member(h));
-        if (RaftView.term(h) == highestTerm && h.ledger().current().epoch() < highestAcked) {
+        if (RaftView.term(h) == highestTerm && h.replicatedState().current().epoch() < highestAcked) {
             throw new Broken(
                     "NobodyLeadsWithOldState",
                     RaftView.member(h) + " leads term " + highestTerm + " with version "
-                            + h.ledger().current().epoch() + ", " + highestAcked + " was acknowledged");
+                            + h.replicatedState().current().epoch() + ", " + highestAcked + " was acknowledged");
         }
     }
 
-    private void weft(String peer, WeftCore w) {
-        long e = w.shadow.epoch();
+    private void weft(String peer, DataPlaneNode w) {
+        long e = w.shadowCommit.epoch();
         Long before = epochs.get(w);
         if (before != null && before == e) {
             return;
@@ -329,7 +329,7 @@
             throw new Broken("SidesNeverGoBack", peer + " goes from " + before + " to " + e);
         }
         epochs.put(w, e);
-        if (e > 0 && !w.shadow.real().stamp.equals(stamps.get(e))) {
+        if (e > 0 && !w.shadowCommit.realConfiguration().stamp.equals(stamps.get(e))) {
             throw new Broken("SidesUseWhatIsAgreed", peer + " uses a version " + e + " that is not agreed");
         }
     }
--- a/src/test/java/bramblespool/model/Play.java
+++ b/src/test/java/bramblespool/model/Play.java
@@ -1,7 +1,7 @@
 package bramblespool.model;
 
-import bramblespool.coordination.HelmCore;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
 import java.util.ArrayList;
@@ -58,14 +58,14 @@
         return world.step();
     }
 
-    private void serve(String peer, HelmCore h) {
+    private void serve(String peer, ControllerNode h) {
         world.machine(peer).disk.tears = true;
         world.machine(peer).serve(new Door(h, this));
     }
 
     private void afterEach() {
         invariants.check();
-        HelmCore l = mesh.leader();
+        ControllerNode l = mesh.leader();
         if (l != null) {
             String now = RaftView.addressOf(RaftView.member(l));
             if (!now.equals(leader)) {
@@ -110,21 +110,21 @@
             throw new Broken("CalmOrdersAreTaken", last.what + " is answered " + last.status);
         }
         history.linearizable();
-        long now = mesh.leader().ledger().current().epoch();
+        long now = mesh.leader().replicatedState().current().epoch();
         // The version of the newest acknowledgement, unless one that nobody heard of came after it.
         long inTime = world.now() + Schedule.APPLY;
         while (world.now() < inTime && !all(now)) {
             world.run(HOP);
         }
         for (var w : mesh.wefts.entrySet()) {
-            if (w.getValue().shadow.epoch() < now) {
+            if (w.getValue().shadowCommit.epoch() < now) {
                 throw new Broken(
                         "SidesFollowInTime",
-                        w.getKey() + " is at " + w.getValue().shadow.epoch() + ", not " + now);
+                        w.getKey() + " is at " + w.getValue().shadowCommit.epoch() + ", not " + now);
             }
         }
         operators.evacuated.forEach((zone, on) -> {
-            var e = mesh.leader().ledger().evacuations().get(zone);
+            var e = mesh.leader().replicatedState().evacuations().get(zone);
             if (!operators.evacuating(zone) && (e != null && e.isEvacuated()) != on) {
                 throw new Broken("AcknowledgedIsKept", "evacuation of " + zone + " is not " + on);
             }
@@ -134,8 +134,8 @@
     }
 
     private boolean all(long epoch) {
-        for (WeftCore w : mesh.wefts.values()) {
-            if (w.shadow.epoch() < epoch) {
+        for (DataPlaneNode w : mesh.wefts.values()) {
+            if (w.shadowCommit.epoch() < epoch) {
                 return false;
             }
         }
@@ -267,7 +267,7 @@
                 world.at(s.ms(), this::spare);
             }
             case LEAVE -> {
-                HelmCore h = mesh.helms.get(peer);
+                ControllerNode h = mesh.helms.get(peer);
                 h.leave();
                 world.at(120, () -> finish(peer, h, s, world.now() + Step.GRACE));
             }
@@ -293,11 +293,11 @@
     }
 
     /** A process that was told to end does so when the group can do without it, or when its time is up. */
-    private void finish(String peer, HelmCore h, Step s, long until) {
+    private void finish(String peer, ControllerNode h, Step s, long until) {
         if (mesh.helms.get(peer) != h) {
             return;
         }
-        if (h.left() || world.now() >= until) {
+        if (h.hasLeft() || world.now() >= until) {
             h.stop();
             kill(peer, false);
             world.at(s.ms(), () -> boot(peer));
--- a/src/test/java/bramblespool/model/RaftView.java
+++ b/src/test/java/bramblespool/model/RaftView.java
@@ -1,6 +1,6 @@
 package bramblespool.model;
 
-import bramblespool.coordination.HelmCore;
+import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.DurableStore;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,28 +10,28 @@
 final class RaftView {
     private RaftView() {}
 
-    static boolean leads(HelmCore h) {
+    static boolean leads(ControllerNode h) {
         return h.raft.isLeader();
     }
 
-    static long term(HelmCore h) {
+    static long term(ControllerNode h) {
         return h.raft.currentTerm();
     }
 
-    static long applied(HelmCore h) {
+    static long applied(ControllerNode h) {
         return h.raft.lastApplied();
     }
 
     /** Where a caller is sent on to, or null. */
-    static String leaderControl(HelmCore h) {
+    static String leaderControl(ControllerNode h) {
         return h.raft.leaderControlAddress();
     }
 
-    static List<String> voters(HelmCore h) {
+    static List<String> voters(ControllerNode h) {
         return h.raft.voters();
     }
 
-    static String member(HelmCore h) {
+    static String member(ControllerNode h) {
         return h.raft.localId();
     }
 
--- a/src/test/java/bramblespool/role/Scene.java
+++ b/src/test/java/bramblespool/role/Scene.java
@@ -1,8 +1,8 @@
 package bramblespool.role;
 
-import bramblespool.coordination.Fleet;
-import bramblespool.coordination.News;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.coordination.gossip.GossipStore;
+import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.protocol.Beat;
 import bramblespool.sim.SimMesh;
 import bramblespool.state.EventLog;
@@ -131,15 +131,15 @@
         String first = null;
         for (int i = 0; i < 2; i++) {
             String server = end(StandIn.Hop.SERVER);
-            WeftCore core = core("in-" + i, "desk", server, config);
+            DataPlaneNode core = core("in-" + i, "desk", server, config);
             Ports p = ports();
             String at = listen(p, on(() -> {
-                core.beat(new Beat("i-1", "desk", server, "z", 8, false, 0, 1));
+                core.onHeartbeat(new Beat("i-1", "desk", server, "z", 8, false, 0, 1));
                 Upstream upstream = new Upstream(LOOP, p.buffers());
                 return new Inbound(
                         clock,
-                        core.shadow,
-                        core.gates,
+                        core.shadowCommit,
+                        core.admissions,
                         new Courier(clock, upstream, null, NEVER_MS, NEVER_MS),
                         p.buffers(),
                         "desk",
@@ -152,13 +152,14 @@
         }
         inbound = first;
         peer = end(StandIn.Hop.MESSAGE);
-        WeftCore core = core("out", "own", "127.0.0.1:1", config);
+        DataPlaneNode core = core("out", "own", "127.0.0.1:1", config);
         Ports p = ports();
         Upstream upstream = on(() -> new Upstream(LOOP, p.buffers()));
         wire = new HttpWire(clock, upstream, p.buffers(), NEVER_MS, EventLog.silent());
         outbound = listen(p, on(() -> {
             for (ObjectNode d : doors) {
-                core.fleet.hear(new News.Item(Fleet.SIDE + d.path("inbound").asText(), 1, 1, d));
+                core.endpointDirectory.onUpdate(new GossipStore.GossipEntry(
+                        EndpointDirectory.PROXY_KEY_PREFIX + d.path("inbound").asText(), 1, 1, d));
             }
             return new Outbound(
                     clock,
@@ -171,7 +172,7 @@
                     new Upstream.Manner(NEVER_MS, NEVER_MS, Courier.BUFFERED),
                     new Outbound.Doubts() {
                         @Override
-                        public void silent(Fleet.Peer peer) {}
+                        public void silent(EndpointDirectory.Proxy peer) {}
 
                         @Override
                         public void behind() {}
@@ -233,7 +234,7 @@
         }
     }
 
-    private WeftCore core(String node, String target, String app, RoutingConfiguration config)
+    private DataPlaneNode core(String node, String target, String app, RoutingConfiguration config)
             throws Settings.InvalidSettingsException {
         Settings s = Settings.parse("""
                 node = "%1$s"
@@ -254,9 +255,9 @@
                 memoryMb = 0
                 %5$s                """.formatted(node, IP, app, target, SimMesh.BOUNDS), "test");
         return on(() -> {
-            WeftCore core =
-                    new WeftCore(s, clock, (to, kind, body, within, answer) -> answer.accept(null), EventLog.silent());
-            core.shadow.adopt(config, true);
+            DataPlaneNode core = new DataPlaneNode(
+                    s, clock, (to, kind, body, within, answer) -> answer.accept(null), EventLog.silent());
+            core.shadowCommit.adopt(config, true);
             return core;
         });
     }
--- a/src/test/java/bramblespool/sim/SimMesh.java
+++ b/src/test/java/bramblespool/sim/SimMesh.java
@@ -1,7 +1,7 @@
 package bramblespool.sim;
 
-import bramblespool.coordination.HelmCore;
-import bramblespool.coordination.WeftCore;
+import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.protocol.Beat;
 import bramblespool.protocol.Orders;
 import bramblespool.state.EventLog;
@@ -18,10 +18,10 @@
 /** Helms and wefts of several zones on a simulated world, with an operator who follows the leader. */
 public final class SimMesh {
     public final SimWorld world;
-    public final Map<String, HelmCore> helms = new LinkedHashMap<>();
-    public final Map<String, WeftCore> wefts = new LinkedHashMap<>();
+    public final Map<String, ControllerNode> helms = new LinkedHashMap<>();
+    public final Map<String, DataPlaneNode> wefts = new LinkedHashMap<>();
     private final List<String> seeds = new ArrayList<>();
-    public final Map<String, WeftCore> hems = new LinkedHashMap<>();
+    public final Map<String, DataPlaneNode> hems = new LinkedHashMap<>();
     private final int losses;
     private final SimPlatform platform;
     private final boolean metered;
@@ -168,7 +168,7 @@
     public void startHelm(String peer, boolean bootstrap) {
         SimWorld.Machine m = world.machine(peer);
         m.boot();
-        HelmCore h = new HelmCore(
+        ControllerNode h = new ControllerNode(
                 settings(peer, seeds, bootstrap),
                 m.disk,
                 "i" + ++incarnations,
@@ -187,12 +187,12 @@
     }
 
     public void startWeft(String peer) {
-        WeftCore w = startSide(peer, wefts);
+        DataPlaneNode w = startSide(peer, wefts);
         SimWorld.Machine m = world.machine(peer);
         String id = "s-" + peer + "-" + ++beats;
         m.every(
                 1500,
-                () -> w.beat(new Beat(
+                () -> w.onHeartbeat(new Beat(
                         id, "desk", peer.substring(0, peer.indexOf(':')) + ":9000", "a", 6, false, 0, ++beats)));
     }
 
@@ -200,10 +200,10 @@
         startSide(peer, hems);
     }
 
-    private WeftCore startSide(String peer, Map<String, WeftCore> among) {
+    private DataPlaneNode startSide(String peer, Map<String, DataPlaneNode> among) {
         SimWorld.Machine m = world.machine(peer);
         m.boot();
-        WeftCore w = new WeftCore(settings(peer, seeds, false), m, m, EventLog.silent());
+        DataPlaneNode w = new DataPlaneNode(settings(peer, seeds, false), m, m, EventLog.silent());
         m.serve(w);
         among.put(peer, w);
         w.start();
@@ -220,9 +220,9 @@
         wefts.remove(peer);
     }
 
-    public HelmCore leader() {
-        HelmCore best = null;
-        for (HelmCore h : helms.values()) {
+    public ControllerNode leader() {
+        ControllerNode best = null;
+        for (ControllerNode h : helms.values()) {
             if (h.raft.isLeader() && (best == null || h.raft.currentTerm() > best.raft.currentTerm())) {
                 best = h;
             }
@@ -271,9 +271,9 @@
 
     /** Sends a change to whoever leads now; nothing is heard where nobody does or the leader goes. */
     public void order(Orders.Change change, Consumer<Orders.Outcome> done) {
-        HelmCore l = leader();
+        ControllerNode l = leader();
         if (l != null) {
-            l.change(change, done);
+            l.submitChange(change, done);
         }
     }
 }
--- a/src/test/java/bramblespool/state/VaultTest.java
+++ b/src/test/java/bramblespool/state/VaultTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.coordination.HelmCore;
+import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
@@ -714,7 +714,7 @@
         SimWorld.Machine m = new SimWorld(1).machine(settings.peerAddress());
         for (String wanted : List.of(RaftNode.FOUNDER_INCARNATION, RaftNode.FOUNDER_INCARNATION, "fresh")) {
             SqliteDurableStore v = vault(new SyncedDirectory(dir), log);
-            HelmCore core = new HelmCore(settings, v, "fresh", m, m, null, EventLog.silent());
+            ControllerNode core = new ControllerNode(settings, v, "fresh", m, m, null, EventLog.silent());
             assertTrue(core.raft.localId().endsWith("#" + wanted), core.raft.localId());
             v.close();
             if (said.toString().contains("again")) {
