--- a/src/main/java/bramblespool/Commands.java
+++ b/src/main/java/bramblespool/cli/Commands.java
@@ -1,4 +1,4 @@
-package bramblespool;
+package bramblespool.cli;
 
 import bramblespool.state.EventLog;
 import bramblespool.state.RoutingConfiguration;
@@ -16,15 +16,15 @@
 @Command(
         name = "bramblespool",
         mixinStandardHelpOptions = true,
-        versionProvider = Commands.Version.class,
+        versionProvider = Commands.VersionProvider.class,
         description = "A service mesh whose configurations are committed in the shadow of the running one.",
         subcommands = {
-            Commands.WeftCommand.class,
-            Commands.HemCommand.class,
-            Commands.HelmCommand.class,
-            Commands.Check.class,
-            Commands.Rehearse.class,
-            Status.class
+            Commands.SidecarCommand.class,
+            Commands.GatewayCommand.class,
+            Commands.ControllerCommand.class,
+            Commands.CheckCommand.class,
+            Commands.SelfTestCommand.class,
+            StatusCommand.class
         },
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:done, or ended in order", "1:failed", "2:wrong usage, or a file that is not fit for use"})
@@ -33,15 +33,15 @@
     private CommandLine.Model.CommandSpec spec;
 
     /** A role is running: the process is not to end. */
-    static final int STAY = -1;
+    static final int KEEP_RUNNING = -1;
 
-    private static boolean started;
+    private static boolean hasStartedRole;
 
     static int execute(String[] args) {
         int code = new CommandLine(new Commands())
                 .setCaseInsensitiveEnumValuesAllowed(true)
                 .execute(args);
-        return started ? STAY : code;
+        return hasStartedRole ? KEEP_RUNNING : code;
     }
 
     @Override
@@ -49,11 +49,11 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a subcommand is wanted");
     }
 
-    static final class Version implements CommandLine.IVersionProvider {
+    static final class VersionProvider implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
-            String v = Bramblespool.class.getPackage().getImplementationVersion();
-            return new String[] {"bramblespool " + (v == null ? "(not packaged)" : v)};
+            String version = Bramblespool.class.getPackage().getImplementationVersion();
+            return new String[] {"bramblespool " + (version == null ? "(not packaged)" : version)};
         }
     }
 
@@ -61,26 +61,26 @@
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
-                description = "the settings file; otherwise the one named by $" + Main.SETTINGS_VARIABLE)
-        private Path file;
+                description = "the settings file; otherwise the one named by $" + ProcessLauncher.SETTINGS_VARIABLE)
+        private Path settingsFile;
 
         @Option(
                 names = "--log-level",
                 paramLabel = "LEVEL",
                 defaultValue = "INFO",
                 description = "error, warn, info or debug (${DEFAULT-VALUE})")
-        private EventLog.Level level;
+        private EventLog.Level logLevel;
 
         abstract String role();
 
         @Override
         public Integer call() {
-            Path from = file != null ? file : Bramblespool.fromVariable();
-            if (from == null) {
-                return Bramblespool.noSettings();
+            Path resolvedFile = settingsFile != null ? settingsFile : Bramblespool.settingsFileFromEnvironment();
+            if (resolvedFile == null) {
+                return Bramblespool.reportMissingSettings();
             }
-            int code = Main.run(role(), from, level);
-            started = code == Main.OK;
+            int code = ProcessLauncher.run(role(), resolvedFile, logLevel);
+            hasStartedRole = code == ProcessLauncher.EXIT_OK;
             return code;
         }
     }
@@ -88,9 +88,9 @@
     @Command(
             name = "weft",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class,
+            versionProvider = VersionProvider.class,
             description = "Runs the data plane's daemon, on a machine of class sidecar.")
-    static final class WeftCommand extends RoleCommand {
+    static final class SidecarCommand extends RoleCommand {
         @Override
         String role() {
             return "weft";
@@ -100,9 +100,9 @@
     @Command(
             name = "hem",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class,
+            versionProvider = VersionProvider.class,
             description = "Runs the gateway's daemon, on a machine of class edge.")
-    static final class HemCommand extends RoleCommand {
+    static final class GatewayCommand extends RoleCommand {
         @Override
         String role() {
             return "hem";
@@ -112,9 +112,9 @@
     @Command(
             name = "helm",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class,
+            versionProvider = VersionProvider.class,
             description = "Runs the control plane's daemon, on a machine of class core.")
-    static final class HelmCommand extends RoleCommand {
+    static final class ControllerCommand extends RoleCommand {
         @Override
         String role() {
             return "helm";
@@ -124,9 +124,9 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class,
+            versionProvider = VersionProvider.class,
             description = "Checks a settings file (.toml) or a configuration (.json) without starting anything.")
-    static final class Check implements Callable<Integer> {
+    static final class CheckCommand implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the file to check")
         private Path file;
 
@@ -134,14 +134,15 @@
         public Integer call() {
             try {
                 if (file.toString().endsWith(".toml")) {
-                    Settings s = Settings.read(file);
-                    System.out.println(file + ": settings of " + s.node() + ", fit for use");
+                    Settings settings = Settings.read(file);
+                    System.out.println(file + ": settings of " + settings.node() + ", fit for use");
                 } else {
-                    RoutingConfiguration c = RoutingConfiguration.compile(Files.readString(file));
-                    System.out.println(file + ": configuration " + c.epoch + " with " + c.routeCount + " routes and "
-                            + c.services.size() + " services, fit for use");
+                    RoutingConfiguration configuration = RoutingConfiguration.compile(Files.readString(file));
+                    System.out.println(
+                            file + ": configuration " + configuration.epoch + " with " + configuration.routeCount
+                                    + " routes and " + configuration.services.size() + " services, fit for use");
                 }
-                return Main.OK;
+                return ProcessLauncher.EXIT_OK;
             } catch (Settings.InvalidSettingsException e) {
                 System.err.println("bramblespool: " + e.getMessage());
             } catch (RoutingConfiguration.InvalidConfigurationException e) {
@@ -149,23 +150,23 @@
             } catch (IOException e) {
                 System.err.println("bramblespool: " + file + ": cannot be read");
             }
-            return Main.UNFIT;
+            return ProcessLauncher.EXIT_INVALID;
         }
     }
 
     @Command(
             name = "rehearse",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class,
+            versionProvider = VersionProvider.class,
             description =
                     "Plays a small mesh in this one process, on the loopback address, and says whether it worked.")
-    static final class Rehearse implements Callable<Integer> {
+    static final class SelfTestCommand implements Callable<Integer> {
         @Override
         public Integer call() {
-            boolean well = Rehearsal.run();
-            System.out.println(well ? "the rehearsal went well" : "the rehearsal failed");
-            System.exit(well ? Main.OK : Main.FAILED);
-            return Main.OK;
+            boolean hasPassed = SelfTest.run();
+            System.out.println(hasPassed ? "the rehearsal went well" : "the rehearsal failed");
+            System.exit(hasPassed ? ProcessLauncher.EXIT_OK : ProcessLauncher.EXIT_FAILED);
+            return ProcessLauncher.EXIT_OK;
         }
     }
 }
--- /dev/null
+++ b/src/main/java/bramblespool/cli/ProcessLauncher.java
@@ -0,0 +1,148 @@
+package bramblespool.cli;
+
+import bramblespool.process.ControllerProcess;
+import bramblespool.process.GatewayProcess;
+import bramblespool.process.ManagedProcess;
+import bramblespool.process.SidecarProcess;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.Settings;
+import bramblespool.transport.EventLoop;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.FileTime;
+import java.sql.SQLException;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import sun.misc.Signal;
+
+/** Starting, settings that change, and ending of a role. */
+final class ProcessLauncher {
+    static final String SETTINGS_VARIABLE = "BRAMBLESPOOL_BOOT";
+    /** The roles, each with the class of machines it runs on. */
+    static final Map<String, String> MACHINE_CLASSES = Map.of("weft", "sidecar", "hem", "edge", "helm", "core");
+
+    static final int EXIT_OK = 0;
+    static final int EXIT_FAILED = 1;
+    static final int EXIT_INVALID = 2;
+    private static final long SETTINGS_POLL_INTERVAL_MS = 1000;
+    /** Part of {@code grace} within which a process ends by itself. */
+    private static final double GRACE_FRACTION = 0.9;
+
+    private final Path settingsFile;
+    private final Settings settings;
+    private final EventLog log;
+    private final EventLoop eventLoop;
+    private ManagedProcess process;
+    private FileTime lastModified;
+
+    private ProcessLauncher(Path settingsFile, Settings settings, EventLog log) throws IOException {
+        this.settingsFile = settingsFile;
+        this.settings = settings;
+        this.log = log;
+        this.eventLoop = new EventLoop(log);
+    }
+
+    /** Runs a role until the process is ended; returns only where it could not start. */
+    static int run(String role, Path settingsFile, EventLog.Level level) {
+        Settings settings;
+        try {
+            settings = Settings.read(settingsFile);
+            String expectedClass = MACHINE_CLASSES.get(role);
+            if (!settings.machineClass().equals(expectedClass)) {
+                throw new Settings.InvalidSettingsException(
+                        settingsFile.toString(),
+                        java.util.List.of("machineClass: a " + role + " runs on '" + expectedClass
+                                + "' machines, not on '" + settings.machineClass() + "'"));
+            }
+        } catch (Settings.InvalidSettingsException e) {
+            System.err.println("bramblespool: " + e.getMessage());
+            return EXIT_INVALID;
+        }
+        EventLog log = new EventLog(settings.node(), System.err, level);
+        try {
+            new ProcessLauncher(settingsFile, settings, log).start(role);
+            return EXIT_OK;
+        } catch (IOException | SQLException | RuntimeException e) {
+            System.err.println("bramblespool: " + role + " could not start: " + e.getMessage());
+            System.exit(EXIT_FAILED);
+            return EXIT_FAILED;
+        }
+    }
+
+    private void start(String role) throws IOException, SQLException {
+        CountDownLatch started = new CountDownLatch(1);
+        Throwable[] failure = new Throwable[1];
+        eventLoop.post(() -> {
+            try {
+                process = createProcess(role);
+            } catch (IOException | SQLException | RuntimeException | LinkageError e) {
+                failure[0] = e;
+            }
+            started.countDown();
+        });
+        try {
+            started.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        if (failure[0] != null) {
+            throw new IOException(
+                    failure[0].getMessage() == null ? failure[0].toString() : failure[0].getMessage(), failure[0]);
+        }
+        log.log(Event.STARTED, "role", role, "zone", settings.zone());
+        Runtime.getRuntime().addShutdownHook(new Thread(null, this::stop, "stop", 256 << 10));
+        Signal.handle(new Signal("HUP"), s -> eventLoop.post(this::reload));
+        lastModified = modificationTime();
+        eventLoop.post(() -> eventLoop.scheduleRepeatedly(SETTINGS_POLL_INTERVAL_MS, () -> {
+            FileTime modified = modificationTime();
+            if (modified != null && !modified.equals(lastModified)) {
+                reload();
+            }
+        }));
+    }
+
+    private ManagedProcess createProcess(String role) throws IOException, SQLException {
+        return switch (role) {
+            case "weft" -> new SidecarProcess(settings, eventLoop, log);
+            case "hem" -> new GatewayProcess(settings, eventLoop, log);
+            default -> new ControllerProcess(settings, eventLoop, log);
+        };
+    }
+
+    private FileTime modificationTime() {
+        try {
+            return Files.getLastModifiedTime(settingsFile);
+        } catch (IOException e) {
+            return null;
+        }
+    }
+
+    private void reload() {
+        lastModified = modificationTime();
+        try {
+            process.updateSettings(Settings.read(settingsFile));
+            log.log(Event.SETTINGS_RELOADED);
+        } catch (Settings.InvalidSettingsException e) {
+            log.log(Event.SETTINGS_INVALID, "cause", e.getMessage());
+        }
+    }
+
+    private void stop() {
+        CountDownLatch done = new CountDownLatch(1);
+        long graceMs = (long) (settings.bounds().shutdownGraceMs() * GRACE_FRACTION);
+        eventLoop.post(() -> {
+            log.log(Event.STOPPING);
+            process.stop(graceMs, done::countDown);
+        });
+        try {
+            done.await(graceMs, TimeUnit.MILLISECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        log.log(Event.STOPPED);
+        Runtime.getRuntime().halt(EXIT_OK);
+    }
+}
--- a/src/main/java/bramblespool/coordination/configuration/ConfigurationFreshness.java
+++ b/src/main/java/bramblespool/coordination/configuration/ConfigurationFreshness.java
@@ -3,7 +3,7 @@
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import java.util.Collection;
 import java.util.HashSet;
@@ -19,7 +19,7 @@
     private final Supplier<Set<String>> controllers;
     private final LongSupplier newestEpoch;
     private final GossipStore gossip;
-    private final Wire transport;
+    private final PeerTransport transport;
     private final long callTimeoutMs;
     private final EventLog log;
     /** Helms that were silent or out of touch since the start. */
@@ -35,7 +35,7 @@
             Supplier<Set<String>> controllers,
             LongSupplier newestEpoch,
             GossipStore gossip,
-            Wire transport,
+            PeerTransport transport,
             long callTimeoutMs,
             EventLog log) {
         this.controllers = controllers;
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -1,6 +1,6 @@
 package bramblespool.coordination.configuration;
 
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.CompressedDocument;
 import bramblespool.state.EventLog;
@@ -40,7 +40,8 @@
         }
     }
 
-    private record PendingChange(Orders.Change change, Consumer<Orders.Outcome> callback) {}
+    private record PendingChange(
+            OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> callback) {}
 
     private static final int MAX_ATTEMPTS = 2;
 
@@ -87,7 +88,7 @@
         isBusy = false;
         if (!isLeader) {
             while (!pendingChanges.isEmpty()) {
-                pendingChanges.poll().callback.accept(Orders.Outcome.unclear("no longer the leader"));
+                pendingChanges.poll().callback.accept(OperatorRequest.Result.unknown("no longer the leader"));
             }
             return;
         }
@@ -118,12 +119,13 @@
         }
     }
 
-    public void submit(Orders.Change change, Consumer<Orders.Outcome> callback) {
+    public void submit(OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> callback) {
         PendingChange pending = new PendingChange(change, callback);
         if (replicatedState.isCommitted(change.digest())) {
             // A repeat need not wait for those before it.
             confirmAndAnswer(
-                    pending, Orders.Outcome.taken(replicatedState.current().epoch()));
+                    pending,
+                    OperatorRequest.Result.accepted(replicatedState.current().epoch()));
             return;
         }
         pendingChanges.add(pending);
@@ -140,24 +142,24 @@
     }
 
     private void proposeCandidate(PendingChange pending) {
-        Orders.Change change = pending.change;
-        Orders.Outcome outcome = knownOutcome(change);
+        OperatorRequest.ConfigurationChange change = pending.change;
+        OperatorRequest.Result outcome = knownOutcome(change);
         if (outcome != null) {
             confirmAndAnswer(pending, outcome);
             return;
         }
         RoutingConfiguration configuration;
         try {
-            JsonObject document = change.whole(currentConfiguration());
+            JsonObject document = change.applyTo(currentConfiguration());
             configuration = RoutingConfiguration.compile(document, CompressedDocument.compress(document.toString()));
         } catch (RoutingConfiguration.InvalidConfigurationException e) {
-            confirmAndAnswer(pending, Orders.Outcome.invalid(e.getMessage()));
+            confirmAndAnswer(pending, OperatorRequest.Result.invalid(e.getMessage()));
             return;
         }
         if (configuration.epoch <= replicatedState.current().epoch()) {
             confirmAndAnswer(
                     pending,
-                    Orders.Outcome.invalid(
+                    OperatorRequest.Result.invalid(
                             "epoch: must be above " + replicatedState.current().epoch()));
             return;
         }
@@ -165,15 +167,15 @@
         long generation = leadershipGeneration;
         ObjectNode e = ReplicatedState.entry("candidate")
                 .put("epoch", configuration.epoch)
-                .put("base", change.base())
+                .put("base", change.baseVersion())
                 .put("digest", change.digest())
                 .put("doc", configuration.compressedDocument);
         raft.propose(e, ok -> {
             if (!ok || generation != leadershipGeneration) {
-                pending.callback.accept(Orders.Outcome.unclear("the lead was lost"));
+                pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
                 return;
             }
-            log.log(Event.CONFIGURATION_CANDIDATE_STORED, "epoch", configuration.epoch, "base", change.base());
+            log.log(Event.CONFIGURATION_CANDIDATE_STORED, "epoch", configuration.epoch, "base", change.baseVersion());
             compiledConfiguration = configuration;
             distribute(pending, configuration, members.get(), MAX_ATTEMPTS);
         });
@@ -183,15 +185,15 @@
      * An answer that says what is decided. It holds for the moment when it was worked out, if a majority of this term has
      * confirmed since that nobody else leads; else there is none, for another leader may have decided more.
      */
-    private void confirmAndAnswer(PendingChange pending, Orders.Outcome outcome) {
+    private void confirmAndAnswer(PendingChange pending, OperatorRequest.Result outcome) {
         raft.confirmLeadership(ok -> {
             if (!ok) {
-                log.log(Event.QUORUM_UNCONFIRMED, "status", outcome.status(), "cause", outcome.word());
-                pending.callback.accept(Orders.Outcome.unclear("no majority confirms it"));
+                log.log(Event.QUORUM_UNCONFIRMED, "status", outcome.status(), "cause", outcome.message());
+                pending.callback.accept(OperatorRequest.Result.unknown("no majority confirms it"));
                 return;
             }
             if (outcome.status() != 200) {
-                log.log(Event.CONFIGURATION_REJECTED, "status", outcome.status(), "cause", outcome.word());
+                log.log(Event.CONFIGURATION_REJECTED, "status", outcome.status(), "cause", outcome.message());
             }
             pending.callback.accept(outcome);
         });
@@ -200,7 +202,7 @@
     /** What waits and can't come to anything more hears so now, not after the phases that are left. */
     private void answerDecidedChanges() {
         pendingChanges.removeIf(pending -> {
-            Orders.Outcome outcome = knownOutcome(pending.change);
+            OperatorRequest.Result outcome = knownOutcome(pending.change);
             if (outcome != null) {
                 confirmAndAnswer(pending, outcome);
             }
@@ -209,11 +211,11 @@
     }
 
     /** What has been decided on a change already: it was taken, or another version is in force; null where it may yet win. */
-    private Orders.Outcome knownOutcome(Orders.Change change) {
+    private OperatorRequest.Result knownOutcome(OperatorRequest.ConfigurationChange change) {
         long epoch = replicatedState.current().epoch();
         return replicatedState.isCommitted(change.digest())
-                ? Orders.Outcome.taken(epoch)
-                : change.base() != epoch ? Orders.Outcome.stale(epoch) : null;
+                ? OperatorRequest.Result.accepted(epoch)
+                : change.baseVersion() != epoch ? OperatorRequest.Result.versionConflict(epoch) : null;
     }
 
     private RoutingConfiguration currentConfiguration() throws RoutingConfiguration.InvalidConfigurationException {
@@ -249,12 +251,12 @@
                 .put("doc", configuration.compressedDocument);
         phaseSender.sendPhase(message, proxies, timeoutMs, acknowledgements -> {
             if (generation != leadershipGeneration) {
-                pending.callback.accept(Orders.Outcome.unclear("the lead was lost"));
+                pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
                 return;
             }
             if (!acknowledgements.rejected.isEmpty()) {
                 abort(configuration.epoch, configuration.stamp, "refused by " + acknowledgements.rejected, () -> {
-                    pending.callback.accept(Orders.Outcome.unclear("refused by " + acknowledgements.rejected));
+                    pending.callback.accept(OperatorRequest.Result.unknown("refused by " + acknowledgements.rejected));
                     startNext();
                 });
                 return;
@@ -279,7 +281,7 @@
                         if (generation == leadershipGeneration) {
                             distribute(pending, configuration, acknowledgements.confirmed, attemptsLeft - 1);
                         } else {
-                            pending.callback.accept(Orders.Outcome.unclear("the lead was lost"));
+                            pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
                         }
                     });
         });
@@ -307,11 +309,11 @@
         unconfirmed.removeAll(confirmed);
         raft.propose(ReplicatedState.entry("decide").put("epoch", configuration.epoch), ok -> {
             if (!ok || !replicatedState.isCommitted(pending.change.digest())) {
-                pending.callback.accept(Orders.Outcome.unclear("the lead was lost"));
+                pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
                 return;
             }
             log.log(Event.COMMIT_DECIDED, "epoch", configuration.epoch);
-            pending.callback.accept(Orders.Outcome.taken(configuration.epoch));
+            pending.callback.accept(OperatorRequest.Result.accepted(configuration.epoch));
             answerDecidedChanges();
             if (generation == leadershipGeneration) {
                 sendTagPacket(configuration.epoch, confirmed);
@@ -327,7 +329,7 @@
                 epoch,
                 proxies,
                 MAX_ATTEMPTS,
-                unresponsive -> clock.after(timeouts.latencyMs, () -> {
+                unresponsive -> clock.schedule(timeouts.latencyMs, () -> {
                     if (generation == leadershipGeneration) {
                         sendSwap(epoch, proxies);
                     }
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
@@ -123,7 +123,7 @@
         isTagging = false;
         isSwapped = false;
         cancelRevertTimer();
-        revertTimer = clock.after(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp));
+        revertTimer = clock.schedule(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp));
         return null;
     }
 
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -15,7 +15,7 @@
 import bramblespool.coordination.tenancy.TenantRateLimiter;
 import bramblespool.coordination.traffic.OverloadDetector;
 import bramblespool.coordination.traffic.RetryBudgetLeases;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.raft.RaftTimeouts;
 import bramblespool.raft.StateMachine;
@@ -26,8 +26,8 @@
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Platform;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
+import bramblespool.transport.PlatformClient;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -45,7 +45,7 @@
 import java.util.function.Consumer;
 
 /** A helm: the cell of its zone, and a member of the agreement above the cells. */
-public final class ControllerNode implements Wire.Service, StateMachine {
+public final class ControllerNode implements PeerTransport.RequestHandler, StateMachine {
     /** Ratios to {@code quiet}. */
     private static final int RENEWAL_DIVISOR = 6;
 
@@ -79,7 +79,7 @@
     }
 
     private final Clock clock;
-    private final Wire transport;
+    private final PeerTransport transport;
     private final EventLog log;
     private Settings settings;
     private final ReplicatedState replicatedState = new ReplicatedState();
@@ -120,8 +120,8 @@
             DurableStore durableStore,
             String incarnation,
             Clock clock,
-            Wire transport,
-            Platform platform,
+            PeerTransport transport,
+            PlatformClient platform,
             EventLog log) {
         this.settings = settings;
         this.clock = clock;
@@ -150,7 +150,7 @@
                     @Override
                     public List<String> reconciliationPeers() {
                         List<String> proxies = sessionPeers();
-                        return proxies.isEmpty() || clock.chance() < 0.5 ? List.copyOf(otherControllers()) : proxies;
+                        return proxies.isEmpty() || clock.random() < 0.5 ? List.copyOf(otherControllers()) : proxies;
                     }
 
                     @Override
@@ -262,25 +262,25 @@
         if (usageReporter != null) {
             usageReporter.start();
         }
-        clock.soon(this::join);
-        clock.every(renewalMs, () -> {
+        clock.execute(this::join);
+        clock.scheduleRepeatedly(renewalMs, () -> {
             closeExpiredSessions();
             registerProposer.sync();
             if (isAnnouncedAsVoter != replicatedState.voterSinceIndexes().containsKey(raft.localId())) {
                 publishSelf();
             }
         });
-        clock.every(renewalMs, () -> {
+        clock.scheduleRepeatedly(renewalMs, () -> {
             if (!overloadDetector.isOverloaded()) {
                 gossip.reconcile();
             }
         });
-        clock.every(renewalMs / ROLE_CHECKS_PER_RENEWAL, this::checkSingletonRoles);
+        clock.scheduleRepeatedly(renewalMs / ROLE_CHECKS_PER_RENEWAL, this::checkSingletonRoles);
     }
 
     private void join() {
         raft.requestJoin(otherControllers());
-        clock.after(settings.bounds().quietPeriodMs() / JOIN_DIVISOR, this::join);
+        clock.schedule(settings.bounds().quietPeriodMs() / JOIN_DIVISOR, this::join);
     }
 
     /** The duties there are: those the log knows, and those that were asked for since. */
@@ -347,7 +347,7 @@
         String owner = shardLeases.ownerOf(shard);
         if (shardLeases.fencingToken(shard) >= 0
                 || owner == null
-                || clock.now() - unresponsiveSinceMs.getOrDefault(owner, -callTimeoutMs) < callTimeoutMs) {
+                || clock.nowMs() - unresponsiveSinceMs.getOrDefault(owner, -callTimeoutMs) < callTimeoutMs) {
             withToken.accept(orFallbackToken(takeToken(request), request));
             return;
         }
@@ -361,7 +361,7 @@
         transport.call(
                 owner, "token", forwarded, Math.max(1, request.path("within").asLong() / 3), response -> {
                     if (response == null) {
-                        unresponsiveSinceMs.put(owner, clock.now());
+                        unresponsiveSinceMs.put(owner, clock.nowMs());
                     }
                     // One that is merely slow is not asked about: that would make it slower.
                     if (response != null && response.path("verdict").asText().equals("none")) {
@@ -570,7 +570,7 @@
             log.log(Event.SESSION_OPENED, "proxy", node);
             publishSession(node, session);
         }
-        session.lastRenewedMs = clock.now();
+        session.lastRenewedMs = clock.nowMs();
         boolean isInTouch = isInTouchWithLeader();
         if (isInTouch) {
             response.put("term", raft.leaderTerm());
@@ -605,7 +605,7 @@
 
     private void closeExpiredSessions() {
         long limitMs = (long) (settings.bounds().quietPeriodMs() / RENEWAL_DIVISOR * MISSED_RENEWALS_TO_CLOSE);
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         Map.copyOf(sessions).forEach((node, session) -> {
             if (session.isOpen && nowMs - session.lastRenewedMs > limitMs) {
                 closeSession(node, session);
@@ -724,7 +724,7 @@
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
-            clock.soon(registerProposer::sync);
+            clock.execute(registerProposer::sync);
             shardLeases.onVotersChanged();
         }
     }
@@ -755,7 +755,7 @@
     private void schedulePublish() {
         if (!isPublishScheduled) {
             isPublishScheduled = true;
-            clock.soon(() -> {
+            clock.execute(() -> {
                 isPublishScheduled = false;
                 publish();
             });
@@ -808,9 +808,9 @@
 
     // ---- the operator
 
-    public void submitChange(Orders.Change change, Consumer<Orders.Outcome> callback) {
+    public void submitChange(OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> callback) {
         if (!raft.isLeader()) {
-            callback.accept(Orders.Outcome.unclear("not the leader"));
+            callback.accept(OperatorRequest.Result.unknown("not the leader"));
             return;
         }
         commitCoordinator.submit(change, callback);
@@ -836,7 +836,7 @@
     // ---- peers
 
     @Override
-    public void serve(String kind, JsonNode request, Consumer<ObjectNode> callback) {
+    public void handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
         if (raft.handleRequest(kind, request, callback)
                 || registerProposer.handleRequest(kind, request, callback)
                 || shardLeases.handleRequest(kind, request, callback)
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -14,13 +14,13 @@
 import bramblespool.coordination.traffic.RetryBudget;
 import bramblespool.coordination.traffic.ServerAdmission;
 import bramblespool.coordination.traffic.ServerAdmissions;
-import bramblespool.protocol.Beat;
+import bramblespool.protocol.Heartbeat;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -35,7 +35,7 @@
  * A data plane daemon's part in the control plane: its session, its news, its side of the shadow commit, its gates. A
  * weft has one gate, to the server on its machine; a hem those of the servers it is steward of.
  */
-public final class DataPlaneNode implements Wire.Service {
+public final class DataPlaneNode implements PeerTransport.RequestHandler {
     /** To how many near peers own news is passed on at once, besides the cell. */
     private static final int GOSSIP_FANOUT = 2;
     /** Once in so many rounds news is compared with anybody, not with a near peer. */
@@ -55,7 +55,7 @@
     private static final int RESPONSE_CACHE_DIVISOR = 24;
 
     private final Clock clock;
-    private final Wire transport;
+    private final PeerTransport transport;
     private final EventLog log;
     private Settings settings;
     public final GossipStore gossip;
@@ -86,7 +86,7 @@
     private final Set<String> pendingPings = new LinkedHashSet<>();
     private long lastRenewalMs;
 
-    public DataPlaneNode(Settings settings, Clock clock, Wire transport, EventLog log) {
+    public DataPlaneNode(Settings settings, Clock clock, PeerTransport transport, EventLog log) {
         this.settings = settings;
         this.clock = clock;
         this.transport = transport;
@@ -110,7 +110,7 @@
                         return selectPeers();
                     }
                 });
-        this.claimOwner = settings.peerAddress() + " " + Long.toHexString((long) (clock.chance() * (1L << 52)));
+        this.claimOwner = settings.peerAddress() + " " + Long.toHexString((long) (clock.random() * (1L << 52)));
         ClusterClock clusterClock = new ClusterClock(clock);
         this.usageCounter = settings.usageReporting() == null
                 ? null
@@ -186,8 +186,8 @@
         long renewalIntervalMs = settings.bounds().quietPeriodMs() / RENEWAL_DIVISOR;
         publishOwnEntry();
         controllerSession.renew();
-        clock.every(renewalIntervalMs, () -> {
-            long nowMs = clock.now();
+        clock.scheduleRepeatedly(renewalIntervalMs, () -> {
+            long nowMs = clock.nowMs();
             if (lastRenewalMs > 0 && nowMs - lastRenewalMs > renewalIntervalMs * 3) {
                 log.log(Event.PROCESS_PAUSED, "pausedMs", nowMs - lastRenewalMs);
                 admissions.onProcessPaused();
@@ -199,7 +199,7 @@
             logUnconfirmed();
             retryBudget.takeExhaustedServices().forEach(this::requestRetryLease);
         });
-        clock.every(renewalIntervalMs * 2, gossip::reconcile);
+        clock.scheduleRepeatedly(renewalIntervalMs * 2, gossip::reconcile);
     }
 
     public void updateSettings(Settings newSettings) {
@@ -280,14 +280,14 @@
 
     private void addRandom(List<String> candidates, int count, Set<String> selected) {
         for (int i = 0; i < count && !candidates.isEmpty(); i++) {
-            selected.add(candidates.remove((int) (clock.chance() * candidates.size())));
+            selected.add(candidates.remove((int) (clock.random() * candidates.size())));
         }
     }
 
     /** Whom to compare news with, or ask: mostly near peers, for bytes between zones cost. */
     private List<String> selectPeers() {
         List<String> sameZone = endpointDirectory.peerAddresses(true);
-        if (!sameZone.isEmpty() && clock.chance() * CROSS_ZONE_RECONCILE_ROUNDS > 1) {
+        if (!sameZone.isEmpty() && clock.random() * CROSS_ZONE_RECONCILE_ROUNDS > 1) {
             return sameZone;
         }
         List<String> peers = endpointDirectory.peerAddresses(false);
@@ -313,7 +313,7 @@
                         retryBudget.leased(
                                 service,
                                 response.path("tries").asInt(),
-                                clock.now() + response.path("life").asLong() - callTimeoutMs);
+                                clock.nowMs() + response.path("life").asLong() - callTimeoutMs);
                     }
                 });
     }
@@ -354,7 +354,7 @@
                 isMarked || configurationEntry.body().path("phase").asText().equals("SWAPPED");
         if (!isSwapped && shadowCommit.realConfiguration() != null) {
             // The commit is under way; should it not come by, the decided version is taken all the same.
-            clock.after(settings.bounds().applyMs() / 4, () -> {
+            clock.schedule(settings.bounds().applyMs() / 4, () -> {
                 if (shadowCommit.epoch() < epoch) {
                     fetch(epoch, stamp, false);
                 }
@@ -442,8 +442,8 @@
             return;
         }
         EndpointDirectory.Proxy proxy = endpointDirectory.findProxy(callerNode);
-        if (proxy != null && proxy.address != null && clock.now() - proxy.lastUpdateSentMs > callTimeoutMs) {
-            proxy.lastUpdateSentMs = clock.now();
+        if (proxy != null && proxy.address != null && clock.nowMs() - proxy.lastUpdateSentMs > callTimeoutMs) {
+            proxy.lastUpdateSentMs = clock.nowMs();
             gossip.reconcileWith(proxy.address);
         }
     }
@@ -467,13 +467,13 @@
             if (response == null) {
                 endpointDirectory.markSuspected(proxy);
             } else {
-                proxy.lastHeardMs = clock.now();
+                proxy.lastHeardMs = clock.nowMs();
             }
         });
     }
 
     @Override
-    public void serve(String kind, JsonNode request, Consumer<ObjectNode> callback) {
+    public void handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
         if (gossip.serve(kind, request, callback)) {
             return;
         }
@@ -624,7 +624,7 @@
 
     // ---- the server and the end
 
-    public String onHeartbeat(Beat heartbeat) {
+    public String onHeartbeat(Heartbeat heartbeat) {
         return serverAdmission.onHeartbeat(heartbeat);
     }
 
@@ -634,7 +634,7 @@
      */
     public void shutDownGracefully(long timeoutMs) {
         isShuttingDown = true;
-        clock.after((long) (timeoutMs * SHUTDOWN_SERVING_SHARE), this::leave);
+        clock.schedule((long) (timeoutMs * SHUTDOWN_SERVING_SHARE), this::leave);
     }
 
     /** Whether it has told that it is gone: what is sent here all the same is refused. */
--- a/src/main/java/bramblespool/coordination/discovery/AssignedEndpoints.java
+++ b/src/main/java/bramblespool/coordination/discovery/AssignedEndpoints.java
@@ -2,7 +2,7 @@
 
 import bramblespool.coordination.traffic.ServerAdmission;
 import bramblespool.coordination.traffic.ServerAdmissions;
-import bramblespool.protocol.Listing;
+import bramblespool.protocol.RegistryPage;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.transport.Clock;
@@ -82,7 +82,7 @@
         hasChanged = false;
         Set<String> assignedIds = new HashSet<>();
         for (JsonNode entry : request.path("servers")) {
-            Listing.Entry server = Listing.Entry.read(entry);
+            RegistryPage.RegisteredServer server = RegistryPage.RegisteredServer.fromJson(entry);
             assignedIds.add(server.id());
             ServerAdmission admission = zoneAdmissions.computeIfAbsent(server.id(), id -> {
                 ServerAdmission created = new ServerAdmission(
@@ -90,7 +90,7 @@
                 admissions.add(created);
                 return created;
             });
-            admission.onRegistryEntry(server.id(), server.capacity(), server.draining(), server.warmupLeft());
+            admission.onRegistryEntry(server.id(), server.capacity(), server.isDraining(), server.warmupLeftMs());
         }
         zoneAdmissions.entrySet().removeIf(entry -> {
             boolean isRemoved = !assignedIds.contains(entry.getKey());
--- a/src/main/java/bramblespool/coordination/discovery/BalancedAssignment.java
+++ b/src/main/java/bramblespool/coordination/discovery/BalancedAssignment.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination.discovery;
 
 import bramblespool.coordination.hashing.RendezvousHash;
-import bramblespool.protocol.Listing;
+import bramblespool.protocol.RegistryPage;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -22,31 +22,33 @@
 
     /** Completes and evens out an assignment of server ids to stewards. Servers about to leave stay where they are. */
     static void balance(
-            Collection<Listing.Entry> servers, Collection<String> candidates, Map<String, String> gatewayByServer) {
+            Collection<RegistryPage.RegisteredServer> servers,
+            Collection<String> candidates,
+            Map<String, String> gatewayByServer) {
         BalancedAssignment assignment = new BalancedAssignment(new TreeSet<>(candidates));
-        List<Listing.Entry> movable = new ArrayList<>();
-        List<Listing.Entry> unassigned = new ArrayList<>();
-        for (Listing.Entry server : servers) {
+        List<RegistryPage.RegisteredServer> movable = new ArrayList<>();
+        List<RegistryPage.RegisteredServer> unassigned = new ArrayList<>();
+        for (RegistryPage.RegisteredServer server : servers) {
             String currentGateway = gatewayByServer.get(server.id());
             if (currentGateway == null) {
                 unassigned.add(server);
-            } else if (!server.draining()) {
+            } else if (!server.isDraining()) {
                 assignment.adjustCount(server.target(), currentGateway, 1);
             }
-            if (!server.draining()) {
+            if (!server.isDraining()) {
                 movable.add(server);
             }
         }
-        unassigned.sort(Comparator.comparing(Listing.Entry::id));
-        movable.sort(Comparator.comparing(Listing.Entry::id));
-        for (Listing.Entry server : unassigned) {
+        unassigned.sort(Comparator.comparing(RegistryPage.RegisteredServer::id));
+        movable.sort(Comparator.comparing(RegistryPage.RegisteredServer::id));
+        for (RegistryPage.RegisteredServer server : unassigned) {
             String newGateway = assignment.leastLoaded(server);
             gatewayByServer.put(server.id(), newGateway);
-            if (!server.draining()) {
+            if (!server.isDraining()) {
                 assignment.adjustCount(server.target(), newGateway, 1);
             }
         }
-        for (Listing.Entry server : movable) {
+        for (RegistryPage.RegisteredServer server : movable) {
             String currentGateway = gatewayByServer.get(server.id());
             String newGateway = assignment.leastLoaded(server);
             int serviceDifference = assignment.serviceCount(server.target(), currentGateway)
@@ -74,7 +76,7 @@
     }
 
     /** Who has the fewest of the service, then the fewest of all, then is first in line for the server. */
-    private String leastLoaded(Listing.Entry server) {
+    private String leastLoaded(RegistryPage.RegisteredServer server) {
         String best = null;
         for (String gateway : gateways) {
             if (best == null || compareLoad(server, gateway, best) < 0) {
@@ -84,7 +86,7 @@
         return best;
     }
 
-    private int compareLoad(Listing.Entry server, String left, String right) {
+    private int compareLoad(RegistryPage.RegisteredServer server, String left, String right) {
         int order = Integer.compare(serviceCount(server.target(), left), serviceCount(server.target(), right));
         if (order == 0) {
             order = Integer.compare(totalCount(left), totalCount(right));
--- a/src/main/java/bramblespool/coordination/discovery/RegistryReader.java
+++ b/src/main/java/bramblespool/coordination/discovery/RegistryReader.java
@@ -1,12 +1,12 @@
 package bramblespool.coordination.discovery;
 
-import bramblespool.protocol.Listing;
+import bramblespool.protocol.RegistryPage;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Platform;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
+import bramblespool.transport.PlatformClient;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -43,7 +43,7 @@
         long assignedNumber;
 
         long confirmedNumber;
-        List<Listing.Entry> servers = List.of();
+        List<RegistryPage.RegisteredServer> servers = List.of();
         /** What it may have a gate for: what it confirmed, and what was sent to it since. */
         Set<String> possibleServers = new HashSet<>();
 
@@ -60,8 +60,8 @@
     private final String readerId;
 
     private final Clock clock;
-    private final Platform platform;
-    private final Wire transport;
+    private final PlatformClient platform;
+    private final PeerTransport transport;
     private final Supplier<List<Gateway>> gateways;
     private final long readIntervalMs;
     private final long callTimeoutMs;
@@ -81,21 +81,21 @@
     /** Numbers assignments; never starts over within a life, for the duty may come back under the same fence. */
     private long lastAssignmentNumber;
 
-    private Map<String, Listing.Entry> registeredServers;
+    private Map<String, RegistryPage.RegisteredServer> registeredServers;
     private final Map<String, String> gatewayByServer = new HashMap<>();
     private final Map<String, AssignmentState> assignmentStates = new HashMap<>();
 
     public RegistryReader(
             String zone,
             Clock clock,
-            Platform platform,
-            Wire transport,
+            PlatformClient platform,
+            PeerTransport transport,
             Supplier<List<Gateway>> gateways,
             long readIntervalMs,
             long callTimeoutMs,
             EventLog log) {
         this.zone = zone;
-        this.readerId = Long.toHexString((long) (clock.chance() * Long.MAX_VALUE));
+        this.readerId = Long.toHexString((long) (clock.random() * Long.MAX_VALUE));
         this.clock = clock;
         this.platform = platform;
         this.transport = transport;
@@ -113,7 +113,7 @@
             gatewayByServer.clear();
             assignmentStates.clear();
             readGeneration++;
-            nextReadMs = clock.now();
+            nextReadMs = clock.nowMs();
             backoffSteps = 0;
             log.log(Event.SINGLETON_ROLE_ACQUIRED, "role", "list of " + zone, "fencingToken", fencingToken);
         }
@@ -127,16 +127,16 @@
     public void setLeaderless(boolean hasNoLeader) {
         if (hasNoLeader && !isLeaderless) {
             readGeneration++;
-            nextReadMs = clock.now();
+            nextReadMs = clock.nowMs();
             backoffSteps = 0;
             warnedServers.clear();
-            watchUntilMs = clock.now() + LEADERLESS_WATCH_PERIODS * readIntervalMs;
+            watchUntilMs = clock.nowMs() + LEADERLESS_WATCH_PERIODS * readIntervalMs;
         }
         isLeaderless = hasNoLeader;
     }
 
     private boolean isWatching() {
-        return clock.now() < watchUntilMs;
+        return clock.nowMs() < watchUntilMs;
     }
 
     /** One round. */
@@ -145,7 +145,7 @@
             readGeneration++;
             return;
         }
-        if (clock.now() >= nextReadMs) {
+        if (clock.nowMs() >= nextReadMs) {
             nextReadMs = Long.MAX_VALUE;
             readPage(++readGeneration, null, new TreeMap<>(), new HashSet<>());
         }
@@ -157,33 +157,36 @@
     // ---- the list
 
     private void readPage(
-            long generation, String pageToken, Map<String, Listing.Entry> collected, Set<String> seenTokens) {
-        platform.page(zone, pageToken, response -> {
+            long generation,
+            String pageToken,
+            Map<String, RegistryPage.RegisteredServer> collected,
+            Set<String> seenTokens) {
+        platform.fetchPage(zone, pageToken, response -> {
             if (generation != readGeneration) {
                 return;
             }
-            if (response.code() != 200 || response.body() == null) {
-                failRead("code " + response.code());
+            if (response.statusCode() != 200 || response.body() == null) {
+                failRead("code " + response.statusCode());
                 return;
             }
-            Listing page;
+            RegistryPage page;
             try {
-                page = Listing.read(response.body());
+                page = RegistryPage.parse(response.body());
             } catch (RoutingConfiguration.InvalidConfigurationException e) {
                 failRead(e.getMessage());
                 return;
             }
-            for (Listing.Entry e : page.servers()) {
+            for (RegistryPage.RegisteredServer e : page.servers()) {
                 if (e.zone().equals(zone)) {
                     collected.put(e.id(), e);
                 }
             }
-            if (page.next() == null) {
+            if (page.nextToken() == null) {
                 onListComplete(collected);
-            } else if (!seenTokens.add(page.next()) || seenTokens.size() > MAX_PAGES) {
+            } else if (!seenTokens.add(page.nextToken()) || seenTokens.size() > MAX_PAGES) {
                 failRead("the list has no end");
             } else {
-                readPage(generation, page.next(), collected, seenTokens);
+                readPage(generation, page.nextToken(), collected, seenTokens);
             }
         });
     }
@@ -191,13 +194,13 @@
     private void failRead(String reason) {
         log.logOnChange(Event.REGISTRY_READ_FAILED, zone + reason, "zone", zone, "cause", reason);
         backoffSteps = Math.min(backoffSteps + 1, MAX_BACKOFF_STEPS);
-        nextReadMs = clock.now() + backoffSteps * readIntervalMs / 2 + (long) (clock.chance() * readIntervalMs / 2);
+        nextReadMs = clock.nowMs() + backoffSteps * readIntervalMs / 2 + (long) (clock.random() * readIntervalMs / 2);
     }
 
-    private void onListComplete(Map<String, Listing.Entry> servers) {
+    private void onListComplete(Map<String, RegistryPage.RegisteredServer> servers) {
         if (!isOwner) {
             backoffSteps = 0;
-            nextReadMs = clock.now() + readIntervalMs;
+            nextReadMs = clock.nowMs() + readIntervalMs;
             warnOfDraining(servers.values());
             return;
         }
@@ -205,16 +208,16 @@
             log.log(Event.REGISTRY_READ, "zone", zone, "endpoints", servers.size());
         }
         backoffSteps = 0;
-        nextReadMs = clock.now() + readIntervalMs;
+        nextReadMs = clock.nowMs() + readIntervalMs;
         registeredServers = servers;
         assign();
     }
 
     /** Tells the stewards of servers about to end, each once. */
-    private void warnOfDraining(Collection<Listing.Entry> servers) {
+    private void warnOfDraining(Collection<RegistryPage.RegisteredServer> servers) {
         Set<String> drainingIds = new HashSet<>();
         servers.forEach(server -> {
-            if (server.draining()) {
+            if (server.isDraining()) {
                 drainingIds.add(server.id());
             }
         });
@@ -264,9 +267,9 @@
         gatewayByServer.keySet().retainAll(registeredServers.keySet());
         gatewayByServer.values().retainAll(eligible);
         BalancedAssignment.balance(registeredServers.values(), eligible, gatewayByServer);
-        Map<String, List<Listing.Entry>> wantedByGateway = new HashMap<>();
+        Map<String, List<RegistryPage.RegisteredServer>> wantedByGateway = new HashMap<>();
         members.keySet().forEach(gateway -> wantedByGateway.put(gateway, new ArrayList<>()));
-        for (Listing.Entry server : registeredServers.values()) {
+        for (RegistryPage.RegisteredServer server : registeredServers.values()) {
             String assignee = gatewayByServer.get(server.id());
             if (!mayBeHeldElsewhere(server.id(), assignee)) {
                 wantedByGateway.get(assignee).add(server);
@@ -274,7 +277,7 @@
         }
         for (Gateway gateway : members.values()) {
             AssignmentState state = assignmentStates.get(gateway.node);
-            List<Listing.Entry> wantedServers = wantedByGateway.get(gateway.node);
+            List<RegistryPage.RegisteredServer> wantedServers = wantedByGateway.get(gateway.node);
             if (state.assignedNumber == 0 || !isSameAssignment(state.servers, wantedServers)) {
                 state.assignedNumber = ++lastAssignmentNumber;
                 state.servers = wantedServers;
@@ -309,19 +312,20 @@
         return false;
     }
 
-    private static boolean isSameAssignment(List<Listing.Entry> previous, List<Listing.Entry> current) {
+    private static boolean isSameAssignment(
+            List<RegistryPage.RegisteredServer> previous, List<RegistryPage.RegisteredServer> current) {
         if (previous.size() != current.size()) {
             return false;
         }
         for (int i = 0; i < previous.size(); i++) {
-            Listing.Entry oldServer = previous.get(i);
-            Listing.Entry newServer = current.get(i);
+            RegistryPage.RegisteredServer oldServer = previous.get(i);
+            RegistryPage.RegisteredServer newServer = current.get(i);
             // How long a server stays slow runs down by itself and is no change.
             if (!oldServer.id().equals(newServer.id())
-                    || oldServer.draining() != newServer.draining()
+                    || oldServer.isDraining() != newServer.isDraining()
                     || oldServer.capacity() != newServer.capacity()
                     || !oldServer.address().equals(newServer.address())
-                    || newServer.warmupLeft() > oldServer.warmupLeft()) {
+                    || newServer.warmupLeftMs() > oldServer.warmupLeftMs()) {
                 return false;
             }
         }
@@ -340,8 +344,8 @@
                 .put("reader", readerId);
         ArrayNode servers = request.putArray("servers");
         Set<String> serverIds = new HashSet<>();
-        for (Listing.Entry server : state.servers) {
-            servers.add(server.write());
+        for (RegistryPage.RegisteredServer server : state.servers) {
+            servers.add(server.toJson());
             serverIds.add(server.id());
         }
         state.possibleServers.addAll(serverIds);
--- a/src/main/java/bramblespool/coordination/gossip/GossipStore.java
+++ b/src/main/java/bramblespool/coordination/gossip/GossipStore.java
@@ -2,7 +2,7 @@
 
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -86,7 +86,7 @@
     private static final int DIGEST_BUCKETS = 32;
 
     private final Clock clock;
-    private final Wire transport;
+    private final PeerTransport transport;
     private final long callTimeoutMs;
     private final long batchDelayMs;
     private final boolean isController;
@@ -105,7 +105,7 @@
     /** {@code gatherMs}: how long changes heard of are gathered before they are passed on; {@code cell}: in a helm. */
     public GossipStore(
             Clock clock,
-            Wire transport,
+            PeerTransport transport,
             long callTimeoutMs,
             long batchDelayMs,
             boolean isController,
@@ -174,7 +174,7 @@
         bucketHashes[entry.digestBucket()] ^= change;
         Map<String, GossipEntry> unsent = unsentBySource.computeIfAbsent(source, s -> new LinkedHashMap<>());
         if (unsent.isEmpty()) {
-            clock.after(source == Source.LOCAL ? 0 : batchDelayMs, () -> forward(source));
+            clock.schedule(source == Source.LOCAL ? 0 : batchDelayMs, () -> forward(source));
         }
         unsent.put(entry.key, entry);
         for (Consumer<GossipEntry> listener : listeners) {
@@ -231,7 +231,7 @@
     public void reconcile() {
         List<String> candidates = peers.reconciliationPeers();
         if (!candidates.isEmpty()) {
-            reconcileWith(candidates.get((int) (clock.chance() * candidates.size())));
+            reconcileWith(candidates.get((int) (clock.random() * candidates.size())));
         }
     }
 
--- a/src/main/java/bramblespool/coordination/membership/ControllerSession.java
+++ b/src/main/java/bramblespool/coordination/membership/ControllerSession.java
@@ -10,7 +10,7 @@
 import bramblespool.state.EventLog.Event;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -35,7 +35,7 @@
     private final TermGuard termGuard;
     private final ConfigurationFreshness freshness;
     private final Clock clock;
-    private final Wire transport;
+    private final PeerTransport transport;
     private final long callTimeoutMs;
     private final long renewalIntervalMs;
     private final EventLog log;
@@ -68,7 +68,7 @@
             UsageCounter usageCounter,
             ClusterClock clusterClock,
             Clock clock,
-            Wire transport,
+            PeerTransport transport,
             long callTimeoutMs,
             long renewalIntervalMs,
             EventLog log) {
@@ -154,7 +154,7 @@
 
     private void sendRenewal() {
         String address = controller;
-        long sentAtMs = clock.now();
+        long sentAtMs = clock.nowMs();
         transport.call(address, "session", newRequest(address, sessionNumber, false), callTimeoutMs, response -> {
             if (response != null) {
                 onUsageAcknowledged(address, sentAtMs, response);
@@ -190,7 +190,7 @@
         retryDelayMs = Math.min(
                 renewalIntervalMs / FINAL_RETRY_DIVISOR,
                 Math.max(renewalIntervalMs / INITIAL_RETRY_DIVISOR, retryDelayMs * 2));
-        clock.after((long) (retryDelayMs * (0.5 + clock.chance())), () -> {
+        clock.schedule((long) (retryDelayMs * (0.5 + clock.random())), () -> {
             isRetryScheduled = false;
             if (!isOpen) {
                 renew();
@@ -221,7 +221,7 @@
         if (usageCounter != null && response.has("change")) {
             usageReceiver = address;
             usageCounter.acknowledge(response.path("change").asLong());
-            clusterClock.setOffset(clusterClock.offsetOf(response.path("time").asLong(), clock.now() - sentAtMs));
+            clusterClock.setOffset(clusterClock.offsetOf(response.path("time").asLong(), clock.nowMs() - sentAtMs));
         }
     }
 
@@ -266,7 +266,7 @@
         List<String> others = new ArrayList<>(EndpointDirectory.controllerAddresses(gossip, settings.get()));
         others.remove(controller);
         if (!others.isEmpty()) {
-            String other = others.get((int) (clock.chance() * others.size()));
+            String other = others.get((int) (clock.random() * others.size()));
             gossip.reconcileWith(other, result -> freshness.onCompared(other, result));
         }
     }
--- a/src/main/java/bramblespool/coordination/membership/EndpointDirectory.java
+++ b/src/main/java/bramblespool/coordination/membership/EndpointDirectory.java
@@ -195,7 +195,7 @@
         endpoint.failureRate = body.path("ill").asDouble();
         endpoint.slownessLevel = body.path("slow").asInt();
         long warmupLeftMs = body.path("cold").asLong();
-        endpoint.warmingUpUntilMs = warmupLeftMs > 0 ? clock.now() + warmupLeftMs : 0;
+        endpoint.warmingUpUntilMs = warmupLeftMs > 0 ? clock.nowMs() + warmupLeftMs : 0;
     }
 
     public Proxy findProxy(String node) {
@@ -266,7 +266,7 @@
 
     public void recordLoad(Endpoint endpoint, int load) {
         endpoint.reportedLoad = load;
-        endpoint.reportedAtMs = clock.now();
+        endpoint.reportedAtMs = clock.nowMs();
         endpoint.proxy.lastHeardMs = endpoint.reportedAtMs;
         endpoint.proxy.suspectedUntilMs = 0;
         double typical = typicalUtilization.getDouble(endpoint.target);
@@ -275,11 +275,11 @@
     }
 
     public void markSuspected(Proxy proxy) {
-        proxy.suspectedUntilMs = clock.now() + suspicionMs;
+        proxy.suspectedUntilMs = clock.nowMs() + suspicionMs;
     }
 
     public boolean isSuspected(Proxy proxy) {
-        return proxy.suspectedUntilMs > clock.now();
+        return proxy.suspectedUntilMs > clock.nowMs();
     }
 
     /**
@@ -314,7 +314,7 @@
         if (candidates == null) {
             return null;
         }
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         List<Endpoint> sameZone = new ArrayList<>(candidates.size());
         List<Endpoint> healthy = new ArrayList<>(candidates.size());
         List<Endpoint> unhealthy = new ArrayList<>(candidates.size());
@@ -351,13 +351,13 @@
         if (candidates.isEmpty()) {
             return null;
         }
-        int firstIndex = (int) (clock.chance() * candidates.size());
+        int firstIndex = (int) (clock.random() * candidates.size());
         if (candidates.size() == 1) {
             return candidates.get(0);
         }
         Endpoint firstChoice = candidates.get(firstIndex);
         Endpoint secondChoice =
-                candidates.get((firstIndex + 1 + (int) (clock.chance() * (candidates.size() - 1))) % candidates.size());
+                candidates.get((firstIndex + 1 + (int) (clock.random() * (candidates.size() - 1))) % candidates.size());
         return cost(secondChoice, nowMs) < cost(firstChoice, nowMs) ? secondChoice : firstChoice;
     }
 }
--- a/src/main/java/bramblespool/coordination/register/RegisterAcceptor.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterAcceptor.java
@@ -66,7 +66,7 @@
     private RegisterState registerState(String id) {
         return registers.computeIfAbsent(id, registerId -> {
             RegisterState state = new RegisterState();
-            state.expiresAtMs = clock.now() + retentionMs;
+            state.expiresAtMs = clock.nowMs() + retentionMs;
             expiries.add(new Expiry(registerId, state.expiresAtMs));
             return state;
         });
@@ -82,7 +82,7 @@
         }
         state = registerState(id);
         state.promisedProposal = proposalNumber;
-        state.expiresAtMs = clock.now() + retentionMs;
+        state.expiresAtMs = clock.nowMs() + retentionMs;
         return true;
     }
 
@@ -106,7 +106,7 @@
         state = registerState(id);
         state.acceptedProposal = proposalNumber;
         state.value = value;
-        state.expiresAtMs = clock.now() + retentionMs;
+        state.expiresAtMs = clock.nowMs() + retentionMs;
         return true;
     }
 
@@ -147,7 +147,7 @@
 
     /** Forgets what is past its life. */
     void expire() {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         while (!expiries.isEmpty() && expiries.peek().expiresAtMs < nowMs) {
             Expiry expiry = expiries.poll();
             RegisterState state = registers.get(expiry.id);
--- a/src/main/java/bramblespool/coordination/register/RegisterProposer.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterProposer.java
@@ -9,7 +9,7 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.VoterSet;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -56,7 +56,7 @@
     private final boolean isFounder;
     private final int requiredCopies;
     private final Clock clock;
-    private final Wire transport;
+    private final PeerTransport transport;
     private final DurableStore durableStore;
     private final EventLog log;
     private final long batchDelayMs;
@@ -119,7 +119,7 @@
             int requiredCopies,
             DurableStore durableStore,
             Clock clock,
-            Wire transport,
+            PeerTransport transport,
             long batchDelayMs,
             long callTimeoutMs,
             long retentionMs,
@@ -145,8 +145,9 @@
     }
 
     public void start() {
-        clock.every(retentionMs / RETENTION_PARTS, () -> durableStore.expireRegisters(RETENTION_PARTS + 1));
-        clock.every(retentionMs / (RETENTION_PARTS * 16), () -> {
+        clock.scheduleRepeatedly(
+                retentionMs / RETENTION_PARTS, () -> durableStore.expireRegisters(RETENTION_PARTS + 1));
+        clock.scheduleRepeatedly(retentionMs / (RETENTION_PARTS * 16), () -> {
             acceptor.expire();
             chosenRegisters.removeIf(id -> acceptor.get(id) == null);
         });
@@ -239,7 +240,7 @@
             this.expectedValue = expectedValue;
             this.acceptsAnyValue = acceptsAnyValue;
             this.callback = callback;
-            clock.after(timeoutMs, () -> finish(Result.UNKNOWN));
+            clock.schedule(timeoutMs, () -> finish(Result.UNKNOWN));
         }
 
         private void finish(Result result) {
@@ -282,7 +283,7 @@
                 finish(Result.UNKNOWN);
                 return;
             }
-            clock.after((long) (batchDelayMs * (1 + clock.chance() * (2 << attempts))), () -> {
+            clock.schedule((long) (batchDelayMs * (1 + clock.random() * (2 << attempts))), () -> {
                 if (!isFinished) {
                     prepare();
                 }
@@ -430,7 +431,7 @@
         ArrayList<AcceptorRequest> newBatch = new ArrayList<>();
         newBatch.add(request);
         outgoingRequests.put(voter, newBatch);
-        clock.after(batchDelayMs, () -> send(voter, outgoingRequests.remove(voter)));
+        clock.schedule(batchDelayMs, () -> send(voter, outgoingRequests.remove(voter)));
     }
 
     private void send(String voter, List<AcceptorRequest> requests) {
@@ -487,7 +488,7 @@
     /** This voter's own answer to its own proposals. */
     private void acceptLocally(List<AcceptorRequest> requests) {
         if (!isSynced()) {
-            clock.soon(() -> requests.forEach(request -> request.callback.accept(null)));
+            clock.execute(() -> requests.forEach(request -> request.callback.accept(null)));
             return;
         }
         List<AcceptorReply> replies = new ArrayList<>();
@@ -538,7 +539,7 @@
         if (unsavedRegisters == null) {
             unsavedRegisters = new LinkedHashMap<>();
             unsavedCallbacks = new ArrayList<>();
-            clock.after(batchDelayMs / 2, () -> {
+            clock.schedule(batchDelayMs / 2, () -> {
                 List<Runnable> callbacks = unsavedCallbacks;
                 List<DurableStore.StoredRegister> batch = new ArrayList<>(unsavedRegisters.values());
                 unsavedRegisters = null;
--- a/src/main/java/bramblespool/coordination/singleton/ClusterClock.java
+++ b/src/main/java/bramblespool/coordination/singleton/ClusterClock.java
@@ -20,16 +20,16 @@
 
     /** The offset of this machine's own time of day. */
     public long ownOffset() {
-        return clock.wall() - clock.now();
+        return clock.wallTimeMs() - clock.nowMs();
     }
 
     public long now() {
-        return clock.now() + offsetMs;
+        return clock.nowMs() + offsetMs;
     }
 
     /** What another process says its time was, as heard after a question that took so long. */
     public long offsetOf(long reportedMs, long roundTripMs) {
-        return reportedMs + roundTripMs / 2 - clock.now();
+        return reportedMs + roundTripMs / 2 - clock.nowMs();
     }
 
     public void setOffset(long newOffsetMs) {
--- a/src/main/java/bramblespool/coordination/singleton/UsageReporter.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageReporter.java
@@ -9,8 +9,8 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Platform;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
+import bramblespool.transport.PlatformClient;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -60,8 +60,8 @@
     private final String node;
     private final String peer;
     private final Clock clock;
-    private final Wire transport;
-    private final Platform platform;
+    private final PeerTransport transport;
+    private final PlatformClient platform;
     private final RaftNode raft;
     private final ReplicatedState replicatedState;
     private final SingletonRoles singletonRoles;
@@ -87,8 +87,8 @@
             Settings settings,
             boolean hasFreshStore,
             Clock clock,
-            Wire transport,
-            Platform platform,
+            PeerTransport transport,
+            PlatformClient platform,
             RaftNode raft,
             ReplicatedState replicatedState,
             SingletonRoles singletonRoles,
@@ -119,7 +119,7 @@
     }
 
     public void start() {
-        clock.every(meteringSettings.reportWindowMs() / ROUNDS_PER_WINDOW, this::runRound);
+        clock.scheduleRepeatedly(meteringSettings.reportWindowMs() / ROUNDS_PER_WINDOW, this::runRound);
         synchronizeClock();
     }
 
@@ -130,17 +130,17 @@
     /** Asks all helms for their time of day and takes the median. */
     private void synchronizeClock() {
         List<Long> offsets = new ArrayList<>();
-        long askedAtMs = clock.now();
+        long askedAtMs = clock.nowMs();
         for (String controller : controllers.get()) {
             transport.call(controller, "time", JsonNodeFactory.instance.objectNode(), callTimeoutMs, response -> {
                 if (response != null && response.path("wall").isNumber()) {
-                    offsets.add(clusterClock.offsetOf(response.path("wall").asLong(), clock.now() - askedAtMs));
+                    offsets.add(clusterClock.offsetOf(response.path("wall").asLong(), clock.nowMs() - askedAtMs));
                 }
             });
         }
-        clock.after(callTimeoutMs + 1, () -> {
+        clock.schedule(callTimeoutMs + 1, () -> {
             clusterClock.adoptMedian(offsets);
-            clock.after(callTimeoutMs * 2, this::synchronizeClock);
+            clock.schedule(callTimeoutMs * 2, this::synchronizeClock);
         });
     }
 
@@ -157,7 +157,7 @@
         ProcessUsage usage = usageByProcess.computeIfAbsent(proxy + " " + incarnation, k -> new ProcessUsage(proxy));
         usage.finalBeforeWindow =
                 Math.max(usage.finalBeforeWindow, request.path("through").asLong());
-        usage.lastHeardMs = clock.now();
+        usage.lastHeardMs = clock.nowMs();
         request.path("windows").fields().forEachRemaining(windowEntry -> {
             Map<String, Integer> counts = new HashMap<>();
             windowEntry
@@ -190,7 +190,7 @@
     /** Serves this duty's messages; false where the kind is another's. */
     public boolean handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
         switch (kind) {
-            case "time" -> callback.accept(JsonNodeFactory.instance.objectNode().put("wall", clock.wall()));
+            case "time" -> callback.accept(JsonNodeFactory.instance.objectNode().put("wall", clock.wallTimeMs()));
             case "usage" ->
                 callback.accept(collectedUsage(request.path("window").asLong()));
             default -> {
@@ -228,21 +228,23 @@
         }
         if (role.fencingToken() != currentFencingToken) {
             currentFencingToken = role.fencingToken();
-            ownedSinceMs = clock.now();
+            ownedSinceMs = clock.nowMs();
             log.log(Event.SINGLETON_ROLE_ACQUIRED, "role", ROLE_KEY, "fencingToken", currentFencingToken);
         }
         // Whoever held it before may have acted just now.
-        return hasFreshStore && role.isFirstOwner() || clock.now() - ownedSinceMs > meteringSettings.leaseMs();
+        return hasFreshStore && role.isFirstOwner() || clock.nowMs() - ownedSinceMs > meteringSettings.leaseMs();
     }
 
     private void runRound() {
-        usageByProcess.values().removeIf(usage -> clock.now() - usage.lastHeardMs > meteringSettings.usageLateMs() * 2);
-        if (isBusy || clock.now() < backoffUntilMs || !isActingOwner()) {
+        usageByProcess
+                .values()
+                .removeIf(usage -> clock.nowMs() - usage.lastHeardMs > meteringSettings.usageLateMs() * 2);
+        if (isBusy || clock.nowMs() < backoffUntilMs || !isActingOwner()) {
             return;
         }
         if (rejectedFencingToken == currentFencingToken) {
             // Nothing is said under it any more; the word for a higher one may have been lost.
-            backoffUntilMs = clock.now() + callTimeoutMs * 2;
+            backoffUntilMs = clock.nowMs() + callTimeoutMs * 2;
             requestHigherFencingToken(currentFencingToken);
             return;
         }
@@ -270,7 +272,7 @@
                 meteringSettings.reportWindowMs() / ROUNDS_PER_WINDOW,
                 Math.min(backoffMs * 2, meteringSettings.reportWindowMs() / MAX_BACKOFF_DIVISOR));
         backoffUntilMs =
-                clock.now() + Math.max(backoffMs, (long) (1000 / Math.max(0.1, meteringSettings.callsPerSecond())));
+                clock.nowMs() + Math.max(backoffMs, (long) (1000 / Math.max(0.1, meteringSettings.callsPerSecond())));
         log.logOnChange(Event.USAGE_REPORT_FAILED, reason, "cause", reason, "fencingToken", currentFencingToken);
     }
 
@@ -366,7 +368,7 @@
             isBusy = false;
             return;
         }
-        platform.usage(
+        platform.reportUsage(
                 node, fencingToken, report, meteringSettings.reportWindowMs() / MAX_BACKOFF_DIVISOR, statusCode -> {
                     if (statusCode == 200) {
                         isBusy = false;
--- a/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
+++ b/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
@@ -3,7 +3,7 @@
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -52,7 +52,7 @@
     private static final long MIN_TIMEOUT_MS = 5;
 
     private final Clock clock;
-    private final Wire transport;
+    private final PeerTransport transport;
     private final Supplier<List<String>> voters;
     private final long callTimeoutMs;
     private final long exclusionMs;
@@ -65,7 +65,7 @@
 
     private final MessageDigest sha256;
 
-    public AdmissionClient(Clock clock, Wire transport, Supplier<List<String>> voters, long quietMs) {
+    public AdmissionClient(Clock clock, PeerTransport transport, Supplier<List<String>> voters, long quietMs) {
         this.clock = clock;
         this.transport = transport;
         this.voters = voters;
@@ -120,8 +120,8 @@
             Consumer<Decision> callback) {
         if (limit != null) {
             Long limitedUntilMs = rateLimitedUntilMs.get(tenant);
-            if (limitedUntilMs != null && limitedUntilMs > clock.now()) {
-                callback.accept(new Decision(Verdict.RATE_LIMITED, limitedUntilMs - clock.now(), null));
+            if (limitedUntilMs != null && limitedUntilMs > clock.nowMs()) {
+                callback.accept(new Decision(Verdict.RATE_LIMITED, limitedUntilMs - clock.nowMs(), null));
                 return;
             }
             rateLimitedUntilMs.remove(tenant);
@@ -136,7 +136,7 @@
         if (registerId != null) {
             message.put("register", registerId).put("claim", claim).put("instead", expectedClaim);
         }
-        new PendingAdmission(shardOf(tenant), tenant, message, clock.now() + timeoutMs, callback).ask();
+        new PendingAdmission(shardOf(tenant), tenant, message, clock.nowMs() + timeoutMs, callback).ask();
     }
 
     private final class PendingAdmission {
@@ -157,7 +157,7 @@
         }
 
         void ask() {
-            long remainingMs = deadlineMs - clock.now();
+            long remainingMs = deadlineMs - clock.nowMs();
             String controller = remainingMs < MIN_TIMEOUT_MS ? null : nextController();
             if (controller == null) {
                 callback.accept(new Decision(Verdict.UNKNOWN, retryDelayMs, null));
@@ -168,7 +168,7 @@
             message.put("within", timeoutMs);
             transport.call(controller, "admit", message, timeoutMs, response -> {
                 if (response == null) {
-                    excludedUntilMs.put(controller, clock.now() + exclusionMs);
+                    excludedUntilMs.put(controller, clock.nowMs() + exclusionMs);
                     ownersByShard.remove(shard, controller);
                     ask();
                 } else {
@@ -179,7 +179,7 @@
 
         /** The owner as far as it is known, else who is first in line of those that answer; each once, then all again. */
         private String nextController() {
-            long nowMs = clock.now();
+            long nowMs = clock.nowMs();
             String owner = ownersByShard.get(shard);
             if (owner != null
                     && !askedControllers.contains(owner)
@@ -219,7 +219,7 @@
                 case "go" -> callback.accept(new Decision(Verdict.ADMITTED, 0, null));
                 case "over" -> {
                     long waitMs = Math.max(1, response.path("wait").asLong());
-                    rateLimitedUntilMs.put(tenant, clock.now() + waitMs);
+                    rateLimitedUntilMs.put(tenant, clock.nowMs() + waitMs);
                     callback.accept(new Decision(Verdict.RATE_LIMITED, waitMs, null));
                 }
                 case "held" ->
@@ -233,11 +233,11 @@
 
         /** Nobody holds the duty just now, or no majority answers: it is asked again while there is time. */
         private void retryLater() {
-            if (deadlineMs - clock.now() <= retryDelayMs + MIN_TIMEOUT_MS) {
+            if (deadlineMs - clock.nowMs() <= retryDelayMs + MIN_TIMEOUT_MS) {
                 callback.accept(new Decision(Verdict.UNKNOWN, retryDelayMs, null));
             } else {
                 askedControllers.clear();
-                clock.after(retryDelayMs, this::ask);
+                clock.schedule(retryDelayMs, this::ask);
             }
         }
     }
--- a/src/main/java/bramblespool/coordination/tenancy/IdempotencyTable.java
+++ b/src/main/java/bramblespool/coordination/tenancy/IdempotencyTable.java
@@ -139,7 +139,7 @@
         operation.state = State.CLAIMING;
         operation.isClaimWon = false;
         operation.claim = claimant + " " + ++claimCount;
-        operation.expiresAtMs = clock.now() + windowMs;
+        operation.expiresAtMs = clock.nowMs() + windowMs;
         expiries.add(new Expiry(id, operation.expiresAtMs));
         return operation;
     }
@@ -148,7 +148,7 @@
     public void markRunning(Operation operation) {
         operation.state = State.RUNNING;
         operation.isClaimWon = true;
-        operation.expiresAtMs = clock.now() + windowMs;
+        operation.expiresAtMs = clock.nowMs() + windowMs;
     }
 
     /** It was refused before it was handed on: it may be tried again, here or elsewhere. */
@@ -202,7 +202,7 @@
     }
 
     private void expire() {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         while (!expiries.isEmpty() && expiries.peek().expiresAtMs <= nowMs) {
             Expiry expiry = expiries.poll();
             Operation operation = operations.get(expiry.id);
--- a/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
+++ b/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
@@ -7,7 +7,7 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.VoterSet;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -52,7 +52,7 @@
     private final String self;
     private final String peer;
     private final Clock clock;
-    private final Wire transport;
+    private final PeerTransport transport;
     private final EventLog log;
     private final long leaseMs;
     private final long renewalMs;
@@ -85,7 +85,7 @@
             RegisterProposer registerProposer,
             String self,
             Clock clock,
-            Wire transport,
+            PeerTransport transport,
             long quietMs,
             long registerRetentionMs,
             EventLog log) {
@@ -98,9 +98,9 @@
         this.leaseMs = quietMs / LEASE_DIVISOR;
         this.renewalMs = quietMs / RENEWAL_DIVISOR;
         this.refreshIntervalMs = registerRetentionMs / 4;
-        this.startedAtMs = clock.now();
+        this.startedAtMs = clock.nowMs();
         this.log = log;
-        this.processId = Long.toHexString((long) (clock.chance() * (1L << 48)));
+        this.processId = Long.toHexString((long) (clock.random() * (1L << 48)));
         startNewLease();
     }
 
@@ -108,14 +108,14 @@
     public void onVotersChanged() {
         boolean isNowVoter = replicatedState.voterSinceIndexes().containsKey(self);
         if (isNowVoter && !isVoter) {
-            voterSinceMs = clock.now();
+            voterSinceMs = clock.nowMs();
         }
         isVoter = isNowVoter;
     }
 
     public void start() {
-        clock.every(renewalMs, this::renewLease);
-        clock.every(refreshIntervalMs, this::refreshOwned);
+        clock.scheduleRepeatedly(renewalMs, this::renewLease);
+        clock.scheduleRepeatedly(refreshIntervalMs, this::refreshOwned);
     }
 
     private void startNewLease() {
@@ -126,7 +126,7 @@
 
     /** Whether this helm may act for its slices now. */
     private boolean hasLease() {
-        if (clock.now() - leasedSinceMs < leaseMs * OWNER_LEASE_FRACTION) {
+        if (clock.nowMs() - leasedSinceMs < leaseMs * OWNER_LEASE_FRACTION) {
             return true;
         }
         if (owners.values().stream().anyMatch(this::isOwn)) {
@@ -145,12 +145,12 @@
 
     private void renewLease() {
         hasLease();
-        if (clock.now() - requestedAtMs >= leaseMs * REQUESTED_LEASES
+        if (clock.nowMs() - requestedAtMs >= leaseMs * REQUESTED_LEASES
                 || replicatedState.voterSinceIndexes().isEmpty()) {
             // Nobody asks for tokens: a fleet without limits pays nothing for them.
             return;
         }
-        long sentAtMs = clock.now();
+        long sentAtMs = clock.nowMs();
         String requestedLeaseId = leaseId;
         VoterSet voterSet = replicatedState.voterSet();
         Set<String> agreed = new HashSet<>();
@@ -189,7 +189,7 @@
     /** As a voter: grants a lease, or promises to grant none. */
     private boolean decideAsVoter(String kind, JsonNode request) {
         String holder = request.path("holder").asText();
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         if (nowMs - Math.max(startedAtMs, voterSinceMs) < leaseMs * BARRED_LEASES) {
             // What an earlier life of this process, or the voters before it, granted or promised is not known here.
             return false;
@@ -235,7 +235,7 @@
 
     /** A voter knows who still asks for leases. */
     private boolean isSilent(String holder) {
-        return clock.now() - grantedAtMs.getOrDefault(holder, startedAtMs) >= leaseMs;
+        return clock.nowMs() - grantedAtMs.getOrDefault(holder, startedAtMs) >= leaseMs;
     }
 
     /** Slices owned here. */
@@ -264,8 +264,8 @@
 
     /** Somebody asks for tokens here. */
     public void markRequested() {
-        boolean isFirstRequest = clock.now() - requestedAtMs >= leaseMs * REQUESTED_LEASES;
-        requestedAtMs = clock.now();
+        boolean isFirstRequest = clock.nowMs() - requestedAtMs >= leaseMs * REQUESTED_LEASES;
+        requestedAtMs = clock.nowMs();
         if (isFirstRequest) {
             renewLease();
         }
@@ -317,15 +317,15 @@
                         // A voter has heard it: it is not silent, only not here. Barring it again and again would keep
                         // it so.
                         barredUntilMs.remove(owner.peer);
-                        grantedAtMs.put(owner.peer, clock.now());
+                        grantedAtMs.put(owner.peer, clock.nowMs());
                     }
                 });
     }
 
     private void takeOver(String shard, ShardOwner previousOwner, String expectedValue) {
         // Where the register has been forgotten the fence still has to rise.
-        ShardOwner newOwner = ShardOwner.decode(
-                peer + " " + leaseId + " " + (previousOwner == null ? clock.wall() : previousOwner.fencingToken + 1));
+        ShardOwner newOwner = ShardOwner.decode(peer + " " + leaseId + " "
+                + (previousOwner == null ? clock.wallTimeMs() : previousOwner.fencingToken + 1));
         registerProposer.compareAndSet(registerId(shard), newOwner.encoded, expectedValue, leaseMs, result -> {
             acquiringShards.remove(shard);
             if (result.outcome() == RegisterProposer.Outcome.CHOSEN && newOwner.leaseId.equals(leaseId)) {
--- a/src/main/java/bramblespool/coordination/tenancy/TenantRateLimiter.java
+++ b/src/main/java/bramblespool/coordination/tenancy/TenantRateLimiter.java
@@ -52,7 +52,7 @@
         this.windowMs = windowMs;
         this.excessRatio = excessRatio;
         this.burstAllowance = burstAllowance;
-        this.startedAtMs = clock.now();
+        this.startedAtMs = clock.nowMs();
     }
 
     /**
@@ -62,7 +62,7 @@
      */
     public long takeToken(
             String tenant, long ownershipTerm, boolean isFirstOwner, long epoch, double ratePerS, double burst) {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         TokenBucket bucket = buckets.computeIfAbsent(tenant, t -> new TokenBucket());
         if (epoch >= bucket.epoch) {
             bucket.epoch = epoch;
@@ -89,7 +89,7 @@
         // The further a tenant is over its limit, the longer each side answers for itself: one tenant's excess must not
         // be the owner's whole work.
         long waitMs = windowMs / MIN_WAIT_DIVISOR + (long) (bucket.denialRatio * windowMs / MAX_WAIT_DIVISOR);
-        return (long) (waitMs * (0.75 + clock.chance() / 2));
+        return (long) (waitMs * (0.75 + clock.random() / 2));
     }
 
     /**
@@ -97,7 +97,7 @@
      * What is saved up and what comes in a window are half of the share each, so no window sees more than the share.
      */
     public boolean takeFallbackToken(String tenant, int shareCount, double ratePerS, double burst) {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         double share =
                 ((ratePerS * windowMs / 1000 + burst) * excessRatio + burstAllowance) * FALLBACK_SHARE / shareCount;
         TokenBucket bucket = fallbackBuckets.get(tenant);
--- a/src/main/java/bramblespool/coordination/traffic/OverloadDetector.java
+++ b/src/main/java/bramblespool/coordination/traffic/OverloadDetector.java
@@ -27,13 +27,13 @@
     }
 
     public void start() {
-        dueMs = clock.now() + checkIntervalMs;
-        clock.after(checkIntervalMs, this::measure);
+        dueMs = clock.nowMs() + checkIntervalMs;
+        clock.schedule(checkIntervalMs, this::measure);
     }
 
     private void measure() {
         // The worst of late fades, so that one quiet moment does not end it.
-        latenessMs = Math.max(clock.now() - dueMs, latenessMs * 3 / 4);
+        latenessMs = Math.max(clock.nowMs() - dueMs, latenessMs * 3 / 4);
         if (!isOverloaded && latenessMs >= thresholdMs) {
             isOverloaded = true;
             log.log(Event.OVERLOADED, "lateMs", latenessMs);
--- a/src/main/java/bramblespool/coordination/traffic/RetryBudgetLeases.java
+++ b/src/main/java/bramblespool/coordination/traffic/RetryBudgetLeases.java
@@ -49,7 +49,7 @@
 
     /** Grants tries of a service under the duty's fence; 0 where there are none left for now. */
     public int grant(String service, long fencingToken) {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         ServiceLeases leases = leasesByService.get(service);
         if (leases == null || leases.fencingToken != fencingToken) {
             leases = new ServiceLeases(fencingToken, nowMs);
--- a/src/main/java/bramblespool/coordination/traffic/ServerAdmission.java
+++ b/src/main/java/bramblespool/coordination/traffic/ServerAdmission.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination.traffic;
 
 import bramblespool.coordination.membership.EndpointDirectory;
-import bramblespool.protocol.Beat;
+import bramblespool.protocol.Heartbeat;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.state.Settings;
@@ -95,7 +95,7 @@
             if (isSameServer) {
                 runningRequests--;
                 if (countsLatency) {
-                    updateLatency(route, clock.now() - startedMs);
+                    updateLatency(route, clock.nowMs() - startedMs);
                 }
             }
             dispatchQueue();
@@ -193,7 +193,7 @@
         this.target = target;
         this.onChange = onChange;
         this.log = log;
-        this.createdMs = clock.now();
+        this.createdMs = clock.nowMs();
         this.latencyBaseline = new LatencyBaseline(admissionSettings.drainTimeoutMs);
         meanLatencyByRoute.defaultReturnValue(-1);
     }
@@ -201,7 +201,7 @@
     // ---- what the server says
 
     /** Takes a beat; null where it is acknowledged, else what is wrong with it. */
-    public String onHeartbeat(Beat heartbeat) {
+    public String onHeartbeat(Heartbeat heartbeat) {
         if (!heartbeat.target().equals(target)) {
             return "target: this machine's server is of " + target;
         }
@@ -209,7 +209,7 @@
             return "address: this machine's server is at " + address;
         }
         if (endedServerIds.contains(heartbeat.id())
-                || heartbeat.id().equals(currentServerId) && heartbeat.callSeq() <= lastCallSequence
+                || heartbeat.id().equals(currentServerId) && heartbeat.callSequence() <= lastCallSequence
                 || isLate(heartbeat)) {
             return null;
         }
@@ -235,21 +235,23 @@
                     "capacity",
                     heartbeat.capacity(),
                     "slowStartLeftMs",
-                    heartbeat.warmupLeft());
+                    heartbeat.warmupLeftMs());
         } else if (isUnreachable) {
             log.log(Event.SERVER_RECOVERED, "server", currentServerId);
         }
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         boolean wasWarmingUp = isWarmingUp(nowMs);
-        boolean hasChanged =
-                isNewServer || isUnreachable || heartbeat.draining() && !isDraining || heartbeat.capacity() != capacity;
+        boolean hasChanged = isNewServer
+                || isUnreachable
+                || heartbeat.isDraining() && !isDraining
+                || heartbeat.capacity() != capacity;
         isUnreachable = false;
         isStateUncertain = false;
         lastHeartbeatMs = nowMs;
-        lastCallSequence = heartbeat.callSeq();
+        lastCallSequence = heartbeat.callSequence();
         capacity = heartbeat.capacity();
-        warmingUpUntilMs = heartbeat.warmupLeft() > 0 ? nowMs + heartbeat.warmupLeft() : 0;
-        if (heartbeat.draining() && !isDraining) {
+        warmingUpUntilMs = heartbeat.warmupLeftMs() > 0 ? nowMs + heartbeat.warmupLeftMs() : 0;
+        if (heartbeat.isDraining() && !isDraining) {
             isDraining = true;
             // One that is draining at the first word may have been acknowledged by an earlier life of this process.
             drainingSinceMs = isNewServer ? nowMs - admissionSettings.drainTimeoutMs : nowMs;
@@ -266,17 +268,17 @@
      * Whether it is a late word of a life that another one has followed. After a restart of this process the order of
      * lives is not known, and it may be the other one that was late: that one does not answer, and this one goes on.
      */
-    private boolean isLate(Beat heartbeat) {
+    private boolean isLate(Heartbeat heartbeat) {
         Long lastSequence = supersededServers.get(heartbeat.id());
         if (lastSequence == null) {
             return false;
         }
-        if (heartbeat.draining()) {
+        if (heartbeat.isDraining()) {
             supersededServers.remove(heartbeat.id());
             endedServerIds.add(heartbeat.id());
             return true;
         }
-        return !isUnreachable || heartbeat.callSeq() <= lastSequence;
+        return !isUnreachable || heartbeat.callSequence() <= lastSequence;
     }
 
     /** Takes the word of the platform's list, which knows this server by the id the gate was made for. */
@@ -285,7 +287,7 @@
         boolean hasChanged = isNewServer || shouldDrain && !isDraining || newCapacity != capacity;
         currentServerId = listedServerId;
         capacity = newCapacity;
-        lastHeartbeatMs = clock.now();
+        lastHeartbeatMs = clock.nowMs();
         isStateUncertain = false;
         warmingUpUntilMs = warmupLeftMs > 0 ? lastHeartbeatMs + warmupLeftMs : 0;
         if (shouldDrain && !isDraining) {
@@ -303,7 +305,7 @@
     public void markDraining() {
         if (!isDraining) {
             isDraining = true;
-            drainingSinceMs = clock.now();
+            drainingSinceMs = clock.nowMs();
             log.log(Event.SERVER_DRAINING, "server", currentServerId);
             onChange.run();
             rejectQueued();
@@ -329,7 +331,7 @@
         capacity = newCapacity;
         isStateUncertain = false;
         isUnreachable = false;
-        lastHeartbeatMs = clock.now();
+        lastHeartbeatMs = clock.nowMs();
         warmingUpUntilMs = warmupLeftMs > 0 ? lastHeartbeatMs + warmupLeftMs : 0;
         log.log(
                 Event.SERVER_REGISTERED,
@@ -364,7 +366,7 @@
             log.log(event, "server", currentServerId);
         }
         isUnreachable = true;
-        unreachableSinceMs = clock.now();
+        unreachableSinceMs = clock.nowMs();
         isStateUncertain = true;
         onChange.run();
         rejectQueued();
@@ -372,18 +374,19 @@
 
     /** The share of requests that it fails, of late; forgotten by half in each {@code drain} without one. */
     private double decayedFailureRate() {
-        return failureRate * Math.pow(0.5, (double) (clock.now() - failureRateAtMs) / admissionSettings.drainTimeoutMs);
+        return failureRate
+                * Math.pow(0.5, (double) (clock.nowMs() - failureRateAtMs) / admissionSettings.drainTimeoutMs);
     }
 
     private void updateFailureRate(boolean isSuccess) {
         failureRate = decayedFailureRate() * (1 - OUTCOME_EWMA_WEIGHT) + (isSuccess ? 0 : OUTCOME_EWMA_WEIGHT);
-        failureRateAtMs = clock.now();
+        failureRateAtMs = clock.nowMs();
         publishHealth();
     }
 
     private void publishHealth() {
         int failureStep = (int) (decayedFailureRate() * FAILURE_RATE_STEPS);
-        int currentSlownessLevel = latencyBaseline.slownessLevel(clock.now(), reportedSlownessLevel);
+        int currentSlownessLevel = latencyBaseline.slownessLevel(clock.nowMs(), reportedSlownessLevel);
         if (failureStep != reportedFailureStep || currentSlownessLevel != reportedSlownessLevel) {
             reportedFailureStep = failureStep;
             reportedSlownessLevel = currentSlownessLevel;
@@ -409,7 +412,7 @@
 
     /** To be called now and then. */
     public void check() {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         publishHealth();
         if (currentServerId != null
                 && !isUnreachable
@@ -476,7 +479,7 @@
     }
 
     public long warmupLeftMs() {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         return isStateUncertain && admissionSettings.expectsHeartbeats()
                 ? admissionSettings.heartbeatIntervalMs
                 : Math.max(0, warmingUpUntilMs - nowMs);
@@ -525,7 +528,7 @@
             long deadlineMs,
             Runnable onAdmitted,
             Consumer<Rejection> onRejected) {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         long effectiveTargetMs = latencyTargetMs > 0 ? latencyTargetMs : deadlineMs - nowMs;
         AdmissionTicket ticket = new AdmissionTicket(
                 route, nowMs + rank * effectiveTargetMs / RANK_STEP_DIVISOR, onAdmitted, onRejected);
@@ -558,7 +561,7 @@
             return ticket;
         }
         queue.add(queuePosition, ticket);
-        ticket.timeoutTimer = clock.after(Math.max(1, deadlineMs - nowMs - (long) (expectedMs * 0.7)), () -> {
+        ticket.timeoutTimer = clock.schedule(Math.max(1, deadlineMs - nowMs - (long) (expectedMs * 0.7)), () -> {
             if (queue.remove(ticket)) {
                 onRejected.accept(new Rejection("late", 0));
             }
@@ -625,7 +628,7 @@
     }
 
     private void dispatchQueue() {
-        long nowMs = clock.now();
+        long nowMs = clock.nowMs();
         while (!queue.isEmpty()) {
             if (currentRejection(nowMs) != null) {
                 rejectQueued();
@@ -640,7 +643,7 @@
             long waitMs = startTimesMs.isEmpty()
                     ? Math.max(10, mayHaveEarlierStarts(nowMs) ? createdMs + SECOND_MS - nowMs : 0)
                     : Math.max(5, startTimesMs.firstLong() + SECOND_MS * 11 / 10 - nowMs);
-            slowStartTimer = clock.after(waitMs, () -> {
+            slowStartTimer = clock.schedule(waitMs, () -> {
                 slowStartTimer = null;
                 dispatchQueue();
             });
@@ -648,7 +651,7 @@
     }
 
     private void rejectQueued() {
-        Rejection rejection = currentRejection(clock.now());
+        Rejection rejection = currentRejection(clock.nowMs());
         if (rejection == null) {
             return;
         }
@@ -669,7 +672,7 @@
     }
 
     private void updateLatency(String route, long latencyMs) {
-        latencyBaseline.recordLatency(route, latencyMs, clock.now());
+        latencyBaseline.recordLatency(route, latencyMs, clock.nowMs());
         publishHealth();
         double meanMs = meanLatencyByRoute.getDouble(route);
         meanLatencyByRoute.put(route, meanMs < 0 ? latencyMs : meanMs + LATENCY_EWMA_WEIGHT * (latencyMs - meanMs));
--- /dev/null
+++ b/src/main/java/bramblespool/process/ProxyProcess.java
@@ -0,0 +1,216 @@
+package bramblespool.process;
+
+import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.coordination.membership.EndpointDirectory;
+import bramblespool.proxy.IdleConnections;
+import bramblespool.proxy.InboundHandler;
+import bramblespool.proxy.OutboundHandler;
+import bramblespool.proxy.ServerForwarder;
+import bramblespool.state.EventLog;
+import bramblespool.state.EventLog.Event;
+import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Settings;
+import bramblespool.transport.EventLoop;
+import bramblespool.transport.HttpPeerTransport;
+import bramblespool.transport.Listeners;
+import bramblespool.transport.UpstreamClient;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.server.RequestTooBigException;
+import io.undertow.server.ServerConnection;
+import io.undertow.server.protocol.http.HttpOpenListener;
+import io.undertow.util.Methods;
+import io.undertow.util.StatusCodes;
+import java.io.IOException;
+import org.xnio.OptionMap;
+
+/** A data plane process: what weft and hem share. */
+abstract class ProxyProcess implements ManagedProcess {
+    private static final String READINESS_PATH = "/bramblespool/readiness";
+    /** Between daemons connections are kept so long that traffic comes back to most of them. */
+    private static final int PEER_IDLE_TIMEOUT_MS = 60_000;
+
+    private static final long MAX_CLIENT_HEADER_BYTES = 1 << 20;
+    /** A connection that never brings a request is closed after so many times what one may rest between two. */
+    private static final int SILENT_CONNECTION_FACTOR = 8;
+
+    final EventLoop eventLoop;
+    final EventLog log;
+    final Settings settings;
+    final DataPlaneNode dataPlaneNode;
+    final Listeners listeners;
+    final UpstreamClient upstream;
+    private final OutboundHandler outboundHandler;
+    private final HttpOpenListener clientListener;
+    private final IdleConnections<ServerConnection> idleConnections;
+    private RoutingConfiguration.Limits limits = RoutingConfiguration.Limits.DEFAULT;
+    private boolean isReadyLogged;
+
+    /** {@code target}: the service of this machine's server, or null where there is none. */
+    ProxyProcess(Settings settings, String localService, EventLoop eventLoop, EventLog log) throws IOException {
+        this.eventLoop = eventLoop;
+        this.log = log;
+        this.settings = settings;
+        Settings.Bounds bounds = settings.bounds();
+        long connectTimeoutMs = bounds.quietPeriodMs() / 12;
+        listeners = new Listeners(eventLoop, log);
+        upstream = new UpstreamClient(eventLoop, listeners.bufferPool());
+        HttpPeerTransport transport =
+                new HttpPeerTransport(eventLoop, upstream, listeners.bufferPool(), PEER_IDLE_TIMEOUT_MS / 2, log);
+        dataPlaneNode = new DataPlaneNode(settings, eventLoop, transport, log);
+        transport.setRequestHandler(dataPlaneNode);
+        ServerForwarder forwarder = new ServerForwarder(
+                eventLoop, upstream, dataPlaneNode.usageCounter, connectTimeoutMs, bounds.quietPeriodMs());
+        outboundHandler = new OutboundHandler(
+                eventLoop,
+                dataPlaneNode,
+                forwarder,
+                upstream,
+                listeners.bufferPool(),
+                settings.node(),
+                localService == null ? "" : localService,
+                new UpstreamClient.ConnectionOptions(
+                        connectTimeoutMs, PEER_IDLE_TIMEOUT_MS / 2, ServerForwarder.MAX_BUFFERED_BYTES),
+                new OutboundHandler.ProxyObserver() {
+                    @Override
+                    public void onProxySilent(EndpointDirectory.Proxy proxy) {
+                        dataPlaneNode.ping(proxy);
+                    }
+
+                    @Override
+                    public void onVersionMismatch() {
+                        dataPlaneNode.onVersionMismatch();
+                    }
+                },
+                log);
+        InboundHandler inboundHandler = new InboundHandler(
+                eventLoop,
+                dataPlaneNode.shadowCommit,
+                dataPlaneNode.admissions,
+                forwarder,
+                listeners.bufferPool(),
+                localService,
+                dataPlaneNode::onCallerTag,
+                dataPlaneNode::hasLeft);
+        listeners.listen(settings.peerAddress(), transport, peerListenerOptions());
+        listeners.listen(
+                settings.inboundAddress(),
+                inboundHandler,
+                Listeners.listenerOptions(MAX_CLIENT_HEADER_BYTES, -1, PEER_IDLE_TIMEOUT_MS, PEER_IDLE_TIMEOUT_MS));
+        listeners.listen(settings.readinessAddress(), this::handleReadiness, peerListenerOptions());
+        idleConnections = new IdleConnections<>(eventLoop, limits.idleTimeoutMs());
+        clientListener =
+                listeners.listen(settings.outboundAddress(), this::handleClientRequest, clientListenerOptions());
+    }
+
+    /** To be called once all listening is done. */
+    final void startServing() {
+        dataPlaneNode.start();
+        eventLoop.scheduleRepeatedly(settings.bounds().quietPeriodMs() / 30, this::refreshConfiguration);
+        eventLoop.scheduleRepeatedly(settings.bounds().quietPeriodMs() / 10, idleConnections::closeExpired);
+    }
+
+    static OptionMap peerListenerOptions() {
+        return Listeners.listenerOptions(
+                MAX_CLIENT_HEADER_BYTES,
+                HttpPeerTransport.MAX_MESSAGE_BYTES,
+                PEER_IDLE_TIMEOUT_MS,
+                PEER_IDLE_TIMEOUT_MS);
+    }
+
+    private OptionMap clientListenerOptions() {
+        return Listeners.listenerOptions(
+                limits.headerBytes(), limits.bodyBytes(), (int) limits.headerReadTimeoutMs(), (int)
+                        Math.min(Integer.MAX_VALUE, limits.idleTimeoutMs() * SILENT_CONNECTION_FACTOR));
+    }
+
+    /**
+     * A request of a client's: the limits on its body, where its length is told, and on the rest after it are those of now,
+     * whenever the connection came.
+     */
+    private void handleClientRequest(HttpServerExchange exchange) throws Exception {
+        RoutingConfiguration configuration = dataPlaneNode.shadowCommit.realConfiguration();
+        if (configuration != null) {
+            exchange.setMaxEntitySize(configuration.limits.bodyBytes());
+            idleConnections.setIdleLimit(configuration.limits.idleTimeoutMs());
+        }
+        // Should its body break off, this is what the exchange ends with; every other end says its own.
+        exchange.setStatusCode(StatusCodes.BAD_REQUEST);
+        ServerConnection connection = exchange.getConnection();
+        idleConnections.onRequestStarted(connection);
+        exchange.addExchangeCompleteListener((done, next) -> {
+            idleConnections.onRequestEnded(connection);
+            next.proceed();
+        });
+        outboundHandler.handleRequest(exchange);
+    }
+
+    /** Ends an exchange whose body broke off or was over its connection's bound: nothing was taken. */
+    static void endUnreadable(HttpServerExchange exchange, IOException failure) {
+        exchange.setStatusCode(
+                failure instanceof RequestTooBigException
+                        ? StatusCodes.REQUEST_ENTITY_TOO_LARGE
+                        : StatusCodes.BAD_REQUEST);
+        exchange.endExchange();
+    }
+
+    /**
+     * Takes over the operator's limits; those on heads and on bodies without a length hold on connections
+     * that come from now on.
+     */
+    private void refreshConfiguration() {
+        RoutingConfiguration configuration = dataPlaneNode.shadowCommit.realConfiguration();
+        if (configuration != null && !configuration.limits.equals(limits)) {
+            limits = configuration.limits;
+            clientListener.setUndertowOptions(clientListenerOptions());
+            idleConnections.setIdleLimit(limits.idleTimeoutMs());
+        }
+        if (configuration != null) {
+            onConfiguration(configuration);
+        }
+        if (dataPlaneNode.isReady() && !isReadyLogged) {
+            isReadyLogged = true;
+            log.log(Event.READY, "epoch", configuration.epoch);
+        }
+    }
+
+    /** Called now and then with the version in force. */
+    void onConfiguration(RoutingConfiguration configuration) {}
+
+    private void handleReadiness(HttpServerExchange exchange) {
+        if (!exchange.getRequestURI().equals(READINESS_PATH)) {
+            exchange.setStatusCode(404);
+        } else if (!exchange.getRequestMethod().equals(Methods.GET)) {
+            exchange.setStatusCode(405);
+        } else {
+            exchange.setStatusCode(dataPlaneNode.isReady() ? 200 : 503);
+        }
+    }
+
+    @Override
+    public void updateSettings(Settings newSettings) {
+        dataPlaneNode.updateSettings(newSettings);
+    }
+
+    /** Not ready at once; goes on serving who still comes, and its servers with it; then finishes what it holds. */
+    @Override
+    public void stop(long graceMs, Runnable onStopped) {
+        outboundHandler.beginShutdown();
+        dataPlaneNode.shutDownGracefully(graceMs * 2 / 5);
+        eventLoop.schedule(graceMs * 2 / 5, () -> {
+            listeners.close();
+            long deadlineMs = eventLoop.nowMs() + graceMs * 2 / 5;
+            awaitInFlightRequests(deadlineMs, onStopped);
+        });
+    }
+
+    private void awaitInFlightRequests(long deadlineMs, Runnable onStopped) {
+        if (outboundHandler.inFlightRequests() == 0 && dataPlaneNode.admissions.load() == 0
+                || eventLoop.nowMs() >= deadlineMs) {
+            // Nothing more is read from them, so that nothing is read and left without an answer.
+            idleConnections.closeIdle();
+            onStopped.run();
+        } else {
+            eventLoop.schedule(10, () -> awaitInFlightRequests(deadlineMs, onStopped));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/bramblespool/protocol/Heartbeat.java
@@ -0,0 +1,62 @@
+package bramblespool.protocol;
+
+import bramblespool.state.DocumentReader;
+import bramblespool.state.RoutingConfiguration;
+import java.util.ArrayList;
+import java.util.List;
+
+/** A server's word about itself. */
+public record Heartbeat(
+        String id,
+        String target,
+        String address,
+        String zone,
+        int capacity,
+        boolean isDraining,
+        long warmupLeftMs,
+        long callSequence) {
+    private static final String PATH_PREFIX = "/bramblespool/servers/";
+    private static final String HEARTBEAT_SUFFIX = "/heartbeat";
+    private static final String DEREGISTER_SUFFIX = "/deregister";
+
+    /** The id in the path of a heartbeat, or null. */
+    public static String heartbeatServerId(String path) {
+        return id(path, HEARTBEAT_SUFFIX);
+    }
+
+    public static String deregisteredServerId(String path) {
+        return id(path, DEREGISTER_SUFFIX);
+    }
+
+    private static String id(String path, String suffix) {
+        if (!path.startsWith(PATH_PREFIX)
+                || !path.endsWith(suffix)
+                || path.length() <= PATH_PREFIX.length() + suffix.length()) {
+            return null;
+        }
+        String id = path.substring(PATH_PREFIX.length(), path.length() - suffix.length());
+        return id.indexOf('/') >= 0 ? null : id;
+    }
+
+    public static Heartbeat parse(String id, byte[] body) throws RoutingConfiguration.InvalidConfigurationException {
+        List<String> faults = new ArrayList<>();
+        DocumentReader fields = new DocumentReader(RoutingConfiguration.parseDocument(body), "", faults);
+        String state = fields.serverState("state");
+        Heartbeat heartbeat = new Heartbeat(
+                id,
+                fields.string("target"),
+                fields.address("address", null),
+                fields.string("zone", ""),
+                (int) fields.wholeNumber("capacity", null),
+                "draining".equals(state),
+                fields.durationMs("warmupLeft", "0ms"),
+                fields.wholeNumber("callSeq", 0L));
+        if (heartbeat.capacity < 1) {
+            fields.addFault("capacity", "must be at least 1");
+        }
+        if (!faults.isEmpty()) {
+            throw new RoutingConfiguration.InvalidConfigurationException(faults);
+        }
+        return heartbeat;
+    }
+}
--- /dev/null
+++ b/src/main/java/bramblespool/proxy/InboundHandler.java
@@ -0,0 +1,190 @@
+package bramblespool.proxy;
+
+import bramblespool.coordination.configuration.ShadowCommitParticipant;
+import bramblespool.coordination.traffic.ServerAdmission;
+import bramblespool.coordination.traffic.ServerAdmissions;
+import bramblespool.protocol.ExecutionOutcome;
+import bramblespool.protocol.HeaderNames;
+import bramblespool.state.RoutingConfiguration;
+import bramblespool.transport.BodyStream;
+import bramblespool.transport.Clock;
+import io.undertow.connector.ByteBufferPool;
+import io.undertow.server.HttpHandler;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.HeaderMap;
+import io.undertow.util.Headers;
+import io.undertow.util.SameThreadExecutor;
+import java.util.function.BiConsumer;
+import java.util.function.BooleanSupplier;
+
+/** Calls from other daemons of the data plane: the mark chooses the version, the gate decides, the courier carries. */
+public final class InboundHandler implements HttpHandler {
+    private final Clock clock;
+    private final ShadowCommitParticipant shadowCommit;
+    private final ServerAdmissions serverAdmissions;
+    private final ServerForwarder forwarder;
+    private final ByteBufferPool bufferPool;
+    /** The one service of this machine's server, or null where there are several: callers name the one they want. */
+    private final String localService;
+
+    private final BiConsumer<String, String> onVersionMark;
+    private final BooleanSupplier hasLeft;
+
+    public InboundHandler(
+            Clock clock,
+            ShadowCommitParticipant shadowCommit,
+            ServerAdmissions serverAdmissions,
+            ServerForwarder forwarder,
+            ByteBufferPool bufferPool,
+            String localService,
+            BiConsumer<String, String> onVersionMark,
+            BooleanSupplier hasLeft) {
+        this.hasLeft = hasLeft;
+        this.clock = clock;
+        this.shadowCommit = shadowCommit;
+        this.serverAdmissions = serverAdmissions;
+        this.forwarder = forwarder;
+        this.bufferPool = bufferPool;
+        this.localService = localService;
+        this.onVersionMark = onVersionMark;
+    }
+
+    /** The route under which the request may be handed to a server of the service, and its gate; or why not. */
+    record RouteResolution(
+            RoutingConfiguration.Route route, int rank, ServerAdmission serverAdmission, String rejectionReason) {
+        private static RouteResolution rejected(String reason) {
+            return new RouteResolution(null, 0, null, reason);
+        }
+
+        static RouteResolution resolve(
+                ShadowCommitParticipant shadowCommit,
+                ServerAdmissions serverAdmissions,
+                String versionMark,
+                HeaderMap headers,
+                String path,
+                String service) {
+            if (service == null) {
+                return rejected("none");
+            }
+            ShadowCommitParticipant.ResolvedVersion choice = shadowCommit.resolve(versionMark);
+            if (choice == null) {
+                return rejected("mark");
+            }
+            if (choice.isShadow()) {
+                return rejected("test");
+            }
+            RoutingConfiguration.Route route = choice.configuration().route(headers.getFirst(Headers.HOST), path);
+            if (route == null || !route.routesTo(service)) {
+                return rejected("route");
+            }
+            ServerAdmission serverAdmission = serverAdmissions.leastLoaded(service);
+            int rank = choice.configuration().priority(route, headers.getFirst(HeaderNames.TENANT));
+            return serverAdmission == null ? rejected("none") : new RouteResolution(route, rank, serverAdmission, null);
+        }
+    }
+
+    @Override
+    public void handleRequest(HttpServerExchange exchange) {
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> accept(exchange));
+    }
+
+    private void accept(HttpServerExchange exchange) {
+        long remainingMs = Replies.positiveNumber(exchange, HeaderNames.DEADLINE);
+        String framingFault = Replies.framingFault(exchange);
+        if (framingFault != null || remainingMs <= 0) {
+            Replies.sendTextAndClose(
+                    exchange, 400, framingFault == null ? "bad " + HeaderNames.DEADLINE : framingFault);
+            return;
+        }
+        long deadlineMs = clock.nowMs() + remainingMs;
+        String versionMark = exchange.getRequestHeaders().getFirst(HeaderNames.VERSION_MARK);
+        onVersionMark.accept(exchange.getRequestHeaders().getFirst(HeaderNames.SENDER_NODE), versionMark);
+        String requestedService = exchange.getRequestHeaders().getFirst(HeaderNames.TARGET_SERVICE);
+        String service = requestedService == null ? localService : requestedService;
+        if (localService != null && !localService.equals(service)) {
+            // This address was another service's before, and the caller has not heard.
+            reject(exchange, localService, "none", 0, false);
+            return;
+        }
+        RouteResolution resolution = RouteResolution.resolve(
+                shadowCommit,
+                serverAdmissions,
+                versionMark,
+                exchange.getRequestHeaders(),
+                Replies.requestPath(exchange),
+                service);
+        if (resolution.serverAdmission == null) {
+            reject(exchange, service, resolution.rejectionReason, 0, false);
+            return;
+        }
+        if (hasLeft.getAsBoolean()) {
+            exchange.setPersistent(false);
+            exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
+            reject(exchange, service, "leaving", 0, false);
+            return;
+        }
+        BodyStream.read(
+                exchange.getRequestChannel(),
+                bufferPool,
+                ServerForwarder.MAX_BUFFERED_BYTES,
+                body -> {
+                    ServerForwarder.ForwardedRequest request = new ServerForwarder.ForwardedRequest(
+                            exchange.getRequestMethod(),
+                            Replies.requestTarget(exchange),
+                            exchange.getRequestHeaders(),
+                            body,
+                            attemptId(exchange),
+                            callerService(exchange),
+                            deadlineMs);
+                    forwarder.forward(
+                            resolution.serverAdmission,
+                            request,
+                            resolution.route,
+                            resolution.rank,
+                            (result, relayCompletion) -> reply(exchange, service, result, relayCompletion));
+                },
+                e -> exchange.endExchange());
+    }
+
+    /** Whatever is answered names the try that it is an answer to: a refusal of another one must not be believed. */
+    private static String attemptId(HttpServerExchange exchange) {
+        return exchange.getRequestHeaders().getFirst(HeaderNames.ATTEMPT_ID);
+    }
+
+    private static String callerService(HttpServerExchange exchange) {
+        String caller = exchange.getRequestHeaders().getFirst(HeaderNames.CALLER_SERVICE);
+        return caller == null ? "" : caller;
+    }
+
+    private void reply(
+            HttpServerExchange exchange,
+            String service,
+            ServerForwarder.Result result,
+            ServerForwarder.RelayCompletion relayCompletion) {
+        if (result.outcome() == ExecutionOutcome.ANSWERED) {
+            exchange.getResponseHeaders()
+                    .put(HeaderNames.EXECUTION_OUTCOME, result.outcome().code)
+                    .put(HeaderNames.SERVER_LOAD, serverAdmissions.load(service));
+            Replies.relay(exchange, result.response(), bufferPool, relayCompletion);
+        } else if (result.outcome() == ExecutionOutcome.NOT_EXECUTED) {
+            reject(exchange, service, result.reason(), result.retryAfterMs(), result.hasReachedServer());
+        } else {
+            exchange.getResponseHeaders()
+                    .put(HeaderNames.ATTEMPT_ID, attemptId(exchange))
+                    .put(HeaderNames.EXECUTION_OUTCOME, result.outcome().code)
+                    .put(HeaderNames.SERVER_LOAD, serverAdmissions.load(service))
+                    .put(HeaderNames.REASON, result.reason().replaceAll("[^ -~]", "?"));
+            Replies.sendText(exchange, 502, "");
+        }
+    }
+
+    private void reject(
+            HttpServerExchange exchange, String service, String reason, long retryAfterMs, boolean hasReachedServer) {
+        exchange.getResponseHeaders()
+                .put(HeaderNames.ATTEMPT_ID, attemptId(exchange))
+                .put(HeaderNames.EXECUTION_OUTCOME, ExecutionOutcome.NOT_EXECUTED.code)
+                .put(HeaderNames.SERVER_LOAD, serverAdmissions.load(service))
+                .put(HeaderNames.REASON, hasReachedServer ? reason + "!" : reason);
+        Replies.sendUnavailable(exchange, retryAfterMs, "");
+    }
+}
--- /dev/null
+++ b/src/main/java/bramblespool/proxy/Replies.java
@@ -0,0 +1,214 @@
+package bramblespool.proxy;
+
+import bramblespool.coordination.tenancy.IdempotencyTable;
+import bramblespool.protocol.HeaderNames;
+import bramblespool.transport.BodyStream;
+import bramblespool.transport.UpstreamClient;
+import io.undertow.connector.ByteBufferPool;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.HeaderMap;
+import io.undertow.util.HeaderValues;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import org.xnio.IoUtils;
+
+/** Answers on Undertow's exchanges. */
+public final class Replies {
+    private Replies() {}
+
+    static void sendText(HttpServerExchange exchange, int status, String message) {
+        if (exchange.isResponseStarted()) {
+            IoUtils.safeClose(exchange.getConnection());
+            return;
+        }
+        byte[] bytes = (message + "\n").getBytes(StandardCharsets.UTF_8);
+        exchange.setStatusCode(status);
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
+        exchange.getResponseSender().send(ByteBuffer.wrap(bytes));
+    }
+
+    public static void sendJson(HttpServerExchange exchange, int status, String json) {
+        exchange.setStatusCode(status);
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        exchange.getResponseSender().send(ByteBuffer.wrap(json.getBytes(StandardCharsets.UTF_8)));
+    }
+
+    /** A refusal with the promise that the request has not run. */
+    static void sendUnavailable(HttpServerExchange exchange, long retryAfterMs, String reason) {
+        if (retryAfterMs > 0) {
+            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, formatSeconds(retryAfterMs));
+        }
+        sendText(exchange, 503, reason);
+    }
+
+    static String formatSeconds(long durationMs) {
+        return String.format(Locale.ROOT, "%.3f", durationMs / 1000.0);
+    }
+
+    /** Where the framing is in doubt nothing more is read from the connection. */
+    public static void sendTextAndClose(HttpServerExchange exchange, int status, String message) {
+        exchange.setPersistent(false);
+        exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
+        sendText(exchange, status, message);
+    }
+
+    /** Passes an answer on as it is; one that breaks off closes the connection, so that it never looks whole. */
+    static void relay(
+            HttpServerExchange exchange,
+            UpstreamClient.Response response,
+            ByteBufferPool bufferPool,
+            ServerForwarder.RelayCompletion relayCompletion) {
+        if (exchange.isResponseStarted()) {
+            if (relayCompletion != null) {
+                relayCompletion.onRelayed(false);
+            }
+            return;
+        }
+        exchange.setStatusCode(response.statusCode());
+        HeaderNames.copyEndToEnd(response.headers(), exchange.getResponseHeaders());
+        if (response.body().isComplete()) {
+            if (response.body().prefix().length == 0
+                    && (response.statusCode() == 204 || response.statusCode() == 304)) {
+                exchange.endExchange();
+            } else {
+                exchange.getResponseSender()
+                        .send(ByteBuffer.wrap(response.body().prefix()));
+            }
+            return;
+        }
+        String contentLength = response.headers().getFirst(Headers.CONTENT_LENGTH);
+        if (contentLength != null) {
+            exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, contentLength);
+        }
+        BodyStream.write(
+                response.body(),
+                exchange.getResponseChannel(),
+                bufferPool,
+                () -> {
+                    relayCompletion.onRelayed(true);
+                    exchange.endExchange();
+                },
+                e -> {
+                    relayCompletion.onRelayed(false);
+                    IoUtils.safeClose(exchange.getConnection());
+                });
+    }
+
+    /** An answer as it is kept for repeats; null where it was too large to be held whole. */
+    static IdempotencyTable.StoredResponse toStoredResponse(UpstreamClient.Response response) {
+        if (!response.body().isComplete()) {
+            return null;
+        }
+        HeaderMap headers = new HeaderMap();
+        HeaderNames.copyEndToEnd(response.headers(), headers);
+        List<String> namesAndValues = new ArrayList<>();
+        for (HeaderValues values : headers) {
+            if (!values.getHeaderName().equals(HeaderNames.ATTEMPT_ID)) {
+                values.forEach(value ->
+                        namesAndValues.addAll(List.of(values.getHeaderName().toString(), value)));
+            }
+        }
+        return new IdempotencyTable.StoredResponse(
+                response.statusCode(), namesAndValues, response.body().prefix());
+    }
+
+    /** Answers a repeat as the first was answered; only the try it names is this one. */
+    static void replay(HttpServerExchange exchange, IdempotencyTable.StoredResponse storedResponse) {
+        HeaderMap responseHeaders = exchange.getResponseHeaders();
+        for (int i = 0; i + 1 < storedResponse.headers().size(); i += 2) {
+            responseHeaders.add(
+                    new HttpString(storedResponse.headers().get(i)),
+                    storedResponse.headers().get(i + 1));
+        }
+        responseHeaders.put(HeaderNames.ATTEMPT_ID, exchange.getRequestHeaders().getFirst(HeaderNames.ATTEMPT_ID));
+        exchange.setStatusCode(storedResponse.statusCode());
+        if (storedResponse.body().length == 0) {
+            exchange.endExchange();
+        } else {
+            exchange.getResponseSender().send(ByteBuffer.wrap(storedResponse.body()));
+        }
+    }
+
+    /** The key that a client shows in {@code Authorization}, or null where it shows none of ours. */
+    static String clientKey(HttpServerExchange exchange) {
+        HeaderValues values = exchange.getRequestHeaders().get(Headers.AUTHORIZATION);
+        if (values == null) {
+            return null;
+        }
+        String credentials = values.size() == 1 ? values.getFirst().strip() : "";
+        int space = credentials.indexOf(' ');
+        return space > 0 && credentials.substring(0, space).equalsIgnoreCase("Token")
+                ? credentials.substring(space + 1).strip()
+                : "";
+    }
+
+    static long positiveNumber(HttpServerExchange exchange, HttpString header) {
+        return positiveNumber(exchange.getRequestHeaders().getFirst(header));
+    }
+
+    /** A number above 0; -1 where there is none, -2 where it is no such number. */
+    public static long positiveNumber(String value) {
+        if (value == null) {
+            return -1;
+        }
+        try {
+            double number = Double.parseDouble(value.strip());
+            return number > 0 && number < 1e12 ? (long) Math.ceil(number) : -2;
+        } catch (NumberFormatException e) {
+            return -2;
+        }
+    }
+
+    /** The path and query exactly as they came. */
+    static String requestTarget(HttpServerExchange exchange) {
+        String query = exchange.getQueryString();
+        String path = requestPath(exchange);
+        return query == null || query.isEmpty() ? path : path + "?" + query;
+    }
+
+    static String requestPath(HttpServerExchange exchange) {
+        String uri = exchange.getRequestURI();
+        if (exchange.isHostIncludedInRequestURI()) {
+            int pathStart = uri.indexOf('/', uri.indexOf("://") + 3);
+            return pathStart < 0 ? "/" : uri.substring(pathStart);
+        }
+        return uri;
+    }
+
+    /** Whether an answer, of whatever kind, names this one try and no other. */
+    static boolean namesAttempt(String attemptId, HeaderMap headers) {
+        return headers.count(HeaderNames.ATTEMPT_ID) == 1
+                && headers.getFirst(HeaderNames.ATTEMPT_ID).equals(attemptId);
+    }
+
+    /** What is wrong with a request's framing or head, or null. */
+    static String framingFault(HttpServerExchange exchange) {
+        var headers = exchange.getRequestHeaders();
+        if (headers.count(Headers.CONTENT_LENGTH) > 1
+                || headers.count(Headers.TRANSFER_ENCODING) > 1
+                || headers.contains(Headers.CONTENT_LENGTH) && headers.contains(Headers.TRANSFER_ENCODING)) {
+            return "conflicting lengths";
+        }
+        String transferEncoding = headers.getFirst(Headers.TRANSFER_ENCODING);
+        if (transferEncoding != null && !transferEncoding.strip().equalsIgnoreCase("chunked")) {
+            return "unknown transfer coding";
+        }
+        String contentLength = headers.getFirst(Headers.CONTENT_LENGTH);
+        if (contentLength != null && !contentLength.strip().chars().allMatch(c -> c >= '0' && c <= '9')) {
+            return "bad length";
+        }
+        if (headers.count(Headers.HOST) != 1) {
+            return "one Host is wanted";
+        }
+        if (headers.count(HeaderNames.ATTEMPT_ID) != 1
+                || headers.getFirst(HeaderNames.ATTEMPT_ID).isBlank()) {
+            return "one " + HeaderNames.ATTEMPT_ID + " is wanted";
+        }
+        return null;
+    }
+}
--- /dev/null
+++ b/src/main/java/bramblespool/proxy/ServerForwarder.java
@@ -0,0 +1,234 @@
+package bramblespool.proxy;
+
+import bramblespool.coordination.singleton.UsageCounter;
+import bramblespool.coordination.traffic.ServerAdmission;
+import bramblespool.protocol.ExecutionOutcome;
+import bramblespool.protocol.HeaderNames;
+import bramblespool.state.RoutingConfiguration;
+import bramblespool.transport.BodyStream;
+import bramblespool.transport.Clock;
+import bramblespool.transport.UpstreamClient;
+import io.undertow.util.HeaderMap;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+
+/** Takes a request through a gate to its server, once, and says what came of it. */
+public final class ServerForwarder {
+    /** How a send ended. {@code arrived}: the server saw it, run or not. */
+    record Result(
+            ExecutionOutcome outcome,
+            UpstreamClient.Response response,
+            String reason,
+            long retryAfterMs,
+            boolean hasReachedServer) {
+        static Result notExecuted(String reason, long retryAfterMs, boolean hasReachedServer) {
+            return new Result(ExecutionOutcome.NOT_EXECUTED, null, reason, retryAfterMs, hasReachedServer);
+        }
+
+        static Result possiblyExecuted(String reason) {
+            return new Result(ExecutionOutcome.POSSIBLY_EXECUTED, null, reason, 0, true);
+        }
+    }
+
+    interface ResultListener {
+        /** The ending is to be called when a streamed answer has been passed on; true where it was whole. */
+        void onResult(Result result, RelayCompletion relayCompletion);
+    }
+
+    interface RelayCompletion {
+        void onRelayed(boolean isComplete);
+    }
+
+    /** A request as it travels: what the client sent, and what the system must say about it. */
+    record ForwardedRequest(
+            HttpString method,
+            String requestTarget,
+            HeaderMap headers,
+            BodyStream.Body body,
+            String attemptId,
+            String callerService,
+            long deadlineMs) {}
+
+    /** Answers are held back whole up to this size, so that one broken off can still become another try. */
+    public static final int MAX_BUFFERED_BYTES = 64 << 10;
+    /** How long after its deadline a server's own 504 may come before the connection is given up. */
+    private static final long DEADLINE_GRACE_MS = 40;
+    /** Part of the time the server keeps an idle connection during which it is used again. */
+    private static final double IDLE_REUSE_FRACTION = 0.5;
+
+    private final Clock clock;
+    private final UpstreamClient upstream;
+    private final UsageCounter usageCounter;
+    private final long connectTimeoutMs;
+    /** How long an idle connection to a server is used again, as far as servers have told. */
+    private long idleReuseMs;
+
+    /** {@code tally}: counts what begins to run for each tenant; null where nobody wants to know. */
+    public ServerForwarder(
+            Clock clock, UpstreamClient upstream, UsageCounter usageCounter, long connectTimeoutMs, long idleReuseMs) {
+        this.clock = clock;
+        this.upstream = upstream;
+        this.usageCounter = usageCounter;
+        this.connectTimeoutMs = connectTimeoutMs;
+        this.idleReuseMs = idleReuseMs;
+    }
+
+    static UpstreamClient.Request toUpstreamRequest(ForwardedRequest request, HeaderMap headers) {
+        if (request.body.isComplete()) {
+            if (request.body.prefix().length > 0 || request.headers.contains(Headers.CONTENT_LENGTH)) {
+                headers.put(Headers.CONTENT_LENGTH, request.body.prefix().length);
+            }
+        } else if (request.headers.contains(Headers.CONTENT_LENGTH)) {
+            headers.put(Headers.CONTENT_LENGTH, request.headers.getFirst(Headers.CONTENT_LENGTH));
+        } else {
+            headers.put(Headers.TRANSFER_ENCODING, "chunked");
+        }
+        return new UpstreamClient.Request(request.method, request.requestTarget, headers, request.body);
+    }
+
+    void forward(
+            ServerAdmission serverAdmission,
+            ForwardedRequest request,
+            RoutingConfiguration.Route route,
+            int rank,
+            ResultListener listener) {
+        ForwardingAttempt attempt = new ForwardingAttempt(serverAdmission, request, listener);
+        attempt.ticket = serverAdmission.admit(
+                route.name(),
+                rank,
+                route.latencyTargetMs(),
+                request.deadlineMs,
+                attempt::onAdmitted,
+                rejection -> listener.onResult(
+                        Result.notExecuted(rejection.reason(), rejection.retryAfterMs(), false), null));
+        if (attempt.isAdmittedImmediately) {
+            attempt.send();
+        }
+    }
+
+    private final class ForwardingAttempt implements UpstreamClient.ResponseListener {
+        private final ServerAdmission serverAdmission;
+        private final ForwardedRequest request;
+        private final ResultListener listener;
+        private ServerAdmission.AdmissionTicket ticket;
+        private boolean isAdmittedImmediately;
+        private UpstreamClient.Call upstreamCall;
+        private Clock.Timer deadlineTimer;
+        private String serverId;
+        private boolean isFinished;
+        private String tenant;
+        private long usageWindow;
+
+        ForwardingAttempt(ServerAdmission serverAdmission, ForwardedRequest request, ResultListener listener) {
+            this.serverAdmission = serverAdmission;
+            this.request = request;
+            this.listener = listener;
+        }
+
+        void onAdmitted() {
+            if (ticket == null) {
+                isAdmittedImmediately = true;
+            } else {
+                send();
+            }
+        }
+
+        private void send() {
+            serverId = ticket.serverId();
+            long remainingMs = request.deadlineMs - clock.nowMs();
+            if (remainingMs <= 0) {
+                ticket.release(false);
+                listener.onResult(Result.notExecuted("late", 0, false), null);
+                return;
+            }
+            HeaderMap headers = new HeaderMap();
+            HeaderNames.copyEndToEnd(request.headers, headers);
+            headers.put(HeaderNames.DEADLINE, remainingMs);
+            headers.put(HeaderNames.TARGET_INSTANCE, serverId);
+            if (!request.callerService.isEmpty()) {
+                headers.put(HeaderNames.CALLER_SERVICE, request.callerService);
+            }
+            deadlineTimer = clock.schedule(remainingMs + DEADLINE_GRACE_MS, () -> {
+                boolean wasSent = upstreamCall.requestSent();
+                upstreamCall.cancel();
+                finish(
+                        wasSent ? Result.possiblyExecuted("deadline") : Result.notExecuted("late", 0, false),
+                        false,
+                        null);
+            });
+            tenant = usageCounter == null ? null : request.headers.getFirst(HeaderNames.TENANT);
+            if (tenant != null) {
+                usageWindow = usageCounter.recordRun(tenant);
+            }
+            upstreamCall = upstream.send(
+                    serverAdmission.address(),
+                    new UpstreamClient.ConnectionOptions(connectTimeoutMs, idleReuseMs, MAX_BUFFERED_BYTES),
+                    toUpstreamRequest(request, headers),
+                    this);
+        }
+
+        private void finish(Result result, boolean hasSucceeded, RelayCompletion relayCompletion) {
+            if (isFinished) {
+                return;
+            }
+            isFinished = true;
+            deadlineTimer.cancel();
+            if (tenant != null && result.outcome() == ExecutionOutcome.NOT_EXECUTED) {
+                usageCounter.undoRun(tenant, usageWindow);
+            }
+            if (result.outcome() == ExecutionOutcome.POSSIBLY_EXECUTED) {
+                ticket.recordOutcome(false);
+            } else if (result.outcome() == ExecutionOutcome.ANSWERED
+                    && result.response().statusCode() != 504) {
+                ticket.recordOutcome(result.response().statusCode() < 500);
+            }
+            if (relayCompletion == null) {
+                ticket.release(hasSucceeded);
+            }
+            listener.onResult(result, relayCompletion);
+        }
+
+        @Override
+        public void onResponse(UpstreamClient.Response response) {
+            int keepAliveSeconds = HeaderNames.keepAliveSeconds(response.headers());
+            if (keepAliveSeconds > 0) {
+                idleReuseMs = (long) (keepAliveSeconds * 1000 * IDLE_REUSE_FRACTION);
+            }
+            if (!Replies.namesAttempt(request.attemptId, response.headers())) {
+                // Whatever it says, it says of another request, a refusal as much as a success.
+                upstreamCall.discardConnection();
+                upstream.closeIdleConnections(serverAdmission.address());
+                finish(Result.possiblyExecuted("an answer to another request"), false, null);
+            } else if (response.statusCode() == 421) {
+                upstreamCall.discardConnection();
+                serverAdmission.markUnreachable(serverId);
+                finish(Result.notExecuted("none", 0, false), false, null);
+            } else if (response.headers().contains(HeaderNames.NOT_EXECUTED)) {
+                if (!response.body().isComplete()) {
+                    upstreamCall.finish(false);
+                }
+                finish(Result.notExecuted("turned away", 0, true), false, null);
+            } else if (response.body().isComplete()) {
+                finish(
+                        new Result(ExecutionOutcome.ANSWERED, response, null, 0, true),
+                        response.statusCode() < 500,
+                        null);
+            } else {
+                finish(new Result(ExecutionOutcome.ANSWERED, response, null, 0, true), true, isComplete -> {
+                    upstreamCall.finish(isComplete);
+                    ticket.release(false);
+                });
+            }
+        }
+
+        @Override
+        public void onFailure(UpstreamClient.SendProgress progress, String cause) {
+            if (progress == UpstreamClient.SendProgress.NOT_SENT) {
+                serverAdmission.markUnreachable(serverId);
+                finish(Result.notExecuted("none", 0, false), false, null);
+            } else {
+                finish(Result.possiblyExecuted(cause), false, null);
+            }
+        }
+    }
+}
--- a/src/main/java/bramblespool/raft/Election.java
+++ b/src/main/java/bramblespool/raft/Election.java
@@ -19,7 +19,7 @@
 
     Election(RaftNode raft) {
         this.raft = raft;
-        nextCampaignMs = raft.clock.now() + shortDelayMs();
+        nextCampaignMs = raft.clock.nowMs() + shortDelayMs();
     }
 
     /** Somebody leads. */
@@ -32,14 +32,14 @@
     }
 
     void postpone() {
-        nextCampaignMs = raft.clock.now()
+        nextCampaignMs = raft.clock.nowMs()
                 + raft.timeouts.electionMs()
-                + (long) (raft.clock.chance() * raft.timeouts.electionMs());
+                + (long) (raft.clock.random() * raft.timeouts.electionMs());
     }
 
     /** Until a first try: short, for the pre-vote of a try too early disturbs nobody. */
     private long shortDelayMs() {
-        return raft.timeouts.heartbeatMs() + (long) (raft.clock.chance() * raft.timeouts.electionMs() / 2);
+        return raft.timeouts.heartbeatMs() + (long) (raft.clock.random() * raft.timeouts.electionMs() / 2);
     }
 
     /** The last leader hands over to this member: the others need not wait for that one's silence. */
@@ -57,12 +57,12 @@
             raft.log.log(Event.ELECTION_STARTED, "term", raft.currentTerm());
             // Where the votes are split each tries again after a time of its own, longer than an answer should take.
             if (++consecutiveCampaigns <= QUICK_RETRIES) {
-                nextCampaignMs = raft.clock.now() + raft.timeouts.requestMs() + shortDelayMs();
+                nextCampaignMs = raft.clock.nowMs() + raft.timeouts.requestMs() + shortDelayMs();
             } else {
                 postpone();
             }
         } else {
-            nextCampaignMs = raft.clock.now() + raft.timeouts.heartbeatMs() + shortDelayMs();
+            nextCampaignMs = raft.clock.nowMs() + raft.timeouts.heartbeatMs() + shortDelayMs();
         }
         long requestedTerm = isPreVote ? raft.currentTerm() + 1 : raft.currentTerm();
         List<String> voters = raft.voters();
--- a/src/main/java/bramblespool/raft/MembershipChange.java
+++ b/src/main/java/bramblespool/raft/MembershipChange.java
@@ -35,7 +35,7 @@
     }
 
     void addLearner(String memberId) {
-        learnerSeenMs.put(memberId, raft.clock.now());
+        learnerSeenMs.put(memberId, raft.clock.nowMs());
     }
 
     void clear() {
@@ -49,7 +49,7 @@
      * taken or nobody stands ready to take it.
      */
     boolean requestLeave(String memberId) {
-        long nowMs = raft.clock.now();
+        long nowMs = raft.clock.nowMs();
         leaverSeenMs.put(memberId, nowMs);
         if (raft.voterSet().isJoint()) {
             return false;
--- a/src/main/java/bramblespool/raft/RaftNode.java
+++ b/src/main/java/bramblespool/raft/RaftNode.java
@@ -6,7 +6,7 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.VoterSet;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -37,7 +37,7 @@
     final String localId;
     final String controlAddress;
     final Clock clock;
-    final Wire transport;
+    final PeerTransport transport;
     final DurableStore durableStore;
     final StateMachine stateMachine;
     final RaftTimeouts timeouts;
@@ -86,7 +86,7 @@
             int tolerableLosses,
             DurableStore.PersistentState persistentState,
             Clock clock,
-            Wire transport,
+            PeerTransport transport,
             DurableStore durableStore,
             StateMachine stateMachine,
             RaftTimeouts timeouts,
@@ -120,7 +120,7 @@
         }
         this.commitIndex =
                 Math.max(raftLog.snapshotIndex(), Math.min(persistentState.commitIndex(), raftLog.lastIndex()));
-        this.lastLeaderContactMs = clock.now() - timeouts.electionMs();
+        this.lastLeaderContactMs = clock.nowMs() - timeouts.electionMs();
         this.election = new Election(this);
         this.replication = new Replication(this);
         this.readIndex = new ReadIndex(this);
@@ -163,7 +163,7 @@
         if (isStopped || hasLeft) {
             return;
         }
-        clock.after(timeouts.heartbeatMs(), this::requestRemoval);
+        clock.schedule(timeouts.heartbeatMs(), this::requestRemoval);
         if (role == Role.LEADER) {
             return;
         }
@@ -236,7 +236,7 @@
         for (String voter : voters()) {
             FollowerProgress follower = replication.follower(voter);
             if (voter.equals(localId)
-                    || follower != null && clock.now() - follower.lastContactMs < timeouts.electionMs() * 2) {
+                    || follower != null && clock.nowMs() - follower.lastContactMs < timeouts.electionMs() * 2) {
                 addresses.add(addressOf(voter));
             }
         }
@@ -248,7 +248,7 @@
         return isLeader()
                 || role == Role.FOLLOWER
                         && leaderId != null
-                        && clock.now() - lastLeaderContactMs < timeouts.electionMs() * 2;
+                        && clock.nowMs() - lastLeaderContactMs < timeouts.electionMs() * 2;
     }
 
     /** When a member was heard by this leader, or by this member before it led. */
@@ -315,9 +315,9 @@
             return;
         }
         // Not in step with the others: whose time to campaign comes in one tick split the votes, again and again.
-        double jitter = role == Role.LEADER ? 1 : 0.5 + clock.chance();
-        clock.after(Math.max(1, (long) (timeouts.heartbeatMs() / 2 * jitter)), this::tick);
-        long nowMs = clock.now();
+        double jitter = role == Role.LEADER ? 1 : 0.5 + clock.random();
+        clock.schedule(Math.max(1, (long) (timeouts.heartbeatMs() / 2 * jitter)), this::tick);
+        long nowMs = clock.nowMs();
         if (role == Role.LEADER) {
             leaderTick(nowMs);
         } else if (!isLeaving
@@ -333,11 +333,11 @@
     boolean isDiskHealthy() {
         long pendingSinceMs = durableStore.pendingSinceMs();
         return !durableStore.isFailing()
-                && (pendingSinceMs < 0 || clock.now() - pendingSinceMs < timeouts.electionMs());
+                && (pendingSinceMs < 0 || clock.nowMs() - pendingSinceMs < timeouts.electionMs());
     }
 
     boolean hasRecentLeader() {
-        return role == Role.LEADER || leaderId != null && clock.now() - lastLeaderContactMs < timeouts.electionMs();
+        return role == Role.LEADER || leaderId != null && clock.nowMs() - lastLeaderContactMs < timeouts.electionMs();
     }
 
     private void leaderTick(long nowMs) {
@@ -384,7 +384,7 @@
         election.onLeaderKnown();
         leaderId = localId;
         leaderControlAddress = controlAddress;
-        leaderSinceMs = clock.now();
+        leaderSinceMs = clock.nowMs();
         leaderTerm = currentTerm;
         isLeaderReady = false;
         replication.clearFollowers();
@@ -595,7 +595,7 @@
         leaderId = request.path("from").asText();
         previousLeaderId = leaderId;
         leaderControlAddress = request.path("control").asText();
-        lastLeaderContactMs = clock.now();
+        lastLeaderContactMs = clock.nowMs();
         leaderTerm = currentTerm;
         election.postpone();
         election.onLeaderKnown();
@@ -648,11 +648,11 @@
         }
         if (!voters().contains(localId)) {
             log.logOnChange(Event.JOIN_REQUESTED, localId, "member", localId);
-        } else if (clock.now() - Math.max(lastLeaderContactMs, joinRequestedAtMs) < timeouts.absentMs() * 2) {
+        } else if (clock.nowMs() - Math.max(lastLeaderContactMs, joinRequestedAtMs) < timeouts.absentMs() * 2) {
             // Most likely there is just nobody who leads.
             return;
         }
-        joinRequestedAtMs = clock.now();
+        joinRequestedAtMs = clock.nowMs();
         for (String address : addresses) {
             if (!address.equals(addressOf(localId))) {
                 transport.call(
--- a/src/main/java/bramblespool/raft/ReadIndex.java
+++ b/src/main/java/bramblespool/raft/ReadIndex.java
@@ -25,7 +25,7 @@
             callback.accept(false);
             return;
         }
-        pendingReads.add(new PendingRead(raft.clock.now(), callback));
+        pendingReads.add(new PendingRead(raft.clock.nowMs(), callback));
         if (!completeConfirmed()) {
             raft.replication.replicate(true);
         }
--- a/src/main/java/bramblespool/raft/Replication.java
+++ b/src/main/java/bramblespool/raft/Replication.java
@@ -68,7 +68,7 @@
         });
         recipients.remove(raft.localId);
         followers.keySet().removeIf(memberId -> !recipients.contains(memberId));
-        long nowMs = raft.clock.now();
+        long nowMs = raft.clock.nowMs();
         for (String memberId : recipients) {
             FollowerProgress follower = followers.computeIfAbsent(
                     memberId, i -> new FollowerProgress(i, raft.raftLog.lastIndex() + 1, raft.lastContactMs(i, nowMs)));
@@ -92,7 +92,7 @@
 
     private void sendNext(FollowerProgress follower) {
         chooseTransfer(follower);
-        long nowMs = raft.clock.now();
+        long nowMs = raft.clock.nowMs();
         // Whoever is silent is first asked whether it is there.
         boolean isSilent = nowMs - follower.lastContactMs > raft.timeouts.electionMs() * 2;
         ObjectNode request = newFollowerRequest(follower);
@@ -127,7 +127,7 @@
         if (follower.transfer != null
                 && follower.transfer.snapshot != null
                 && (!follower.transfer.isOffsetKnown
-                        || raft.clock.now() - follower.lastContactMs > raft.timeouts.absentMs())) {
+                        || raft.clock.nowMs() - follower.lastContactMs > raft.timeouts.absentMs())) {
             follower.transfer = null;
         }
         if (follower.transfer != null) {
@@ -233,7 +233,7 @@
             ObjectNode request,
             int payloadChars,
             Consumer<JsonNode> onResponse) {
-        long sentAtMs = raft.clock.now();
+        long sentAtMs = raft.clock.nowMs();
         follower.isRequestInFlight = true;
         follower.shouldSendAgain = false;
         follower.isPayloadInFlight = payloadChars > 0;
@@ -250,7 +250,7 @@
                         follower.onTimeout(payloadChars);
                     } else if (hasContactSince(follower, requestTerm, request, sentAtMs, response)) {
                         if (!response.has("stored")) {
-                            follower.onAnswered(raft.clock.now() - sentAtMs, payloadChars, raft.timeouts);
+                            follower.onAnswered(raft.clock.nowMs() - sentAtMs, payloadChars, raft.timeouts);
                         }
                         onResponse.accept(response);
                         raft.readIndex.completeConfirmed();
@@ -276,7 +276,7 @@
             raft.stepDown(response.path("term").asLong(), "newer term");
             return false;
         }
-        follower.lastContactMs = raft.clock.now();
+        follower.lastContactMs = raft.clock.nowMs();
         follower.lastAnsweredSequence =
                 Math.max(follower.lastAnsweredSequence, request.path("n").asLong());
         follower.isSynced = response.path("settled").asBoolean();
@@ -311,7 +311,7 @@
     }
 
     List<MemberProgress> memberProgress() {
-        long nowMs = raft.clock.now();
+        long nowMs = raft.clock.nowMs();
         List<MemberProgress> result = new ArrayList<>();
         for (FollowerProgress follower : followers.values()) {
             ChunkedTransfer transfer = follower.transfer;
@@ -350,7 +350,7 @@
             FollowerProgress follower = followers.get(voter);
             if (follower != null
                     && follower.matchIndex == raft.raftLog.lastIndex()
-                    && raft.clock.now() - follower.lastContactMs < raft.timeouts.electionMs()) {
+                    && raft.clock.nowMs() - follower.lastContactMs < raft.timeouts.electionMs()) {
                 return voter;
             }
         }
@@ -458,7 +458,7 @@
                 callback.accept(response);
             }
         });
-        earlyResponseTimer[0] = raft.clock.after(raft.timeouts.heartbeatMs() / 2, () -> {
+        earlyResponseTimer[0] = raft.clock.schedule(raft.timeouts.heartbeatMs() / 2, () -> {
             if (!isAnswered[0] && raft.currentTerm() == requestTerm && raft.isDiskHealthy()) {
                 isAnswered[0] = true;
                 callback.accept(response.put("stored", durableIndex));
--- a/src/main/java/bramblespool/raft/StateDigests.java
+++ b/src/main/java/bramblespool/raft/StateDigests.java
@@ -84,7 +84,8 @@
             String digest = voter.equals(raft.localId) ? localDigest : reportedDigests.get(voter);
             if (digest != null) {
                 digests.put(voter, digest);
-            } else if (follower != null && raft.clock.now() - follower.lastContactMs < raft.timeouts.electionMs() * 2) {
+            } else if (follower != null
+                    && raft.clock.nowMs() - follower.lastContactMs < raft.timeouts.electionMs() * 2) {
                 hasAllDigests = false;
             }
         }
--- a/src/main/java/bramblespool/raft/VoterLeases.java
+++ b/src/main/java/bramblespool/raft/VoterLeases.java
@@ -44,7 +44,7 @@
 
     /** Whether this member may go on with a duty that it holds for itself alone. */
     boolean isHeld() {
-        long nowMs = raft.clock.now();
+        long nowMs = raft.clock.nowMs();
         return raft.isLeader()
                 ? isGranting()
                 : raft.role == RaftNode.Role.FOLLOWER
@@ -53,14 +53,14 @@
 
     /** Whether this leader is known by a majority, and may extend the others' rights. */
     boolean isGranting() {
-        return raft.clock.now() - majorityContactMs() < raft.timeouts.electionMs() * LEASE_RATIO;
+        return raft.clock.nowMs() - majorityContactMs() < raft.timeouts.electionMs() * LEASE_RATIO;
     }
 
     /** The addresses of the voters whose right may still stand, as the leader knows. */
     List<String> holderAddresses() {
         List<String> addresses = new ArrayList<>();
         for (String voter : raft.voters()) {
-            if (voter.equals(raft.localId) || raft.clock.now() < expiryMs(voter, raft.replication.follower(voter))) {
+            if (voter.equals(raft.localId) || raft.clock.nowMs() < expiryMs(voter, raft.replication.follower(voter))) {
                 addresses.add(RaftNode.addressOf(voter));
             }
         }
@@ -82,8 +82,9 @@
     private long majorityContactMs() {
         return raft.voterSet()
                 .quorumValue(
-                        voter ->
-                                voter.equals(raft.localId) ? raft.clock.now() : raft.replication.lastAckedSendMs(voter),
+                        voter -> voter.equals(raft.localId)
+                                ? raft.clock.nowMs()
+                                : raft.replication.lastAckedSendMs(voter),
                         0);
     }
 
@@ -101,6 +102,6 @@
             leaseSinceMs = Math.max(leaseSinceMs, acknowledgedAtMs);
         }
         answeredAtMs.keySet().removeIf(answered -> answered < sequence - MAX_ANSWERS);
-        answeredAtMs.put(sequence, raft.clock.now());
+        answeredAtMs.put(sequence, raft.clock.nowMs());
     }
 }
--- a/src/main/java/bramblespool/transport/Stream.java
+++ b/src/main/java/bramblespool/transport/BodyStream.java
@@ -11,91 +11,92 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /** Reading and writing of bodies without blocking. */
-public final class Stream {
+public final class BodyStream {
     /** What was read: the whole body, or its beginning with the channel that holds the rest. */
-    public record Body(byte[] head, StreamSourceChannel rest) {
+    public record Body(byte[] prefix, StreamSourceChannel remainder) {
         public static final Body EMPTY = new Body(new byte[0], null);
 
-        public boolean whole() {
-            return rest == null;
+        public boolean isComplete() {
+            return remainder == null;
         }
     }
 
-    private Stream() {}
+    private BodyStream() {}
 
     /** Reads until the end or until the limit is passed. */
     public static void read(
             StreamSourceChannel channel,
-            ByteBufferPool pool,
-            int limit,
-            Consumer<Body> done,
-            Consumer<IOException> failed) {
-        new Reader(channel, pool, limit, done, failed).handleEvent(channel);
+            ByteBufferPool bufferPool,
+            int maxBytes,
+            Consumer<Body> onComplete,
+            Consumer<IOException> onFailure) {
+        new Reader(channel, bufferPool, maxBytes, onComplete, onFailure).handleEvent(channel);
     }
 
     private static final class Reader implements ChannelListener<StreamSourceChannel> {
-        private final ByteBufferPool pool;
-        private final int limit;
-        private final Consumer<Body> done;
-        private final Consumer<IOException> failed;
-        private byte[] held = new byte[0];
+        private final ByteBufferPool bufferPool;
+        private final int maxBytes;
+        private final Consumer<Body> onComplete;
+        private final Consumer<IOException> onFailure;
+        private byte[] bytes = new byte[0];
         private int size;
-        private boolean waiting;
+        private boolean isAwaitingData;
 
         Reader(
                 StreamSourceChannel channel,
-                ByteBufferPool pool,
-                int limit,
-                Consumer<Body> done,
-                Consumer<IOException> failed) {
-            this.pool = pool;
-            this.limit = limit;
-            this.done = done;
-            this.failed = failed;
+                ByteBufferPool bufferPool,
+                int maxBytes,
+                Consumer<Body> onComplete,
+                Consumer<IOException> onFailure) {
+            this.bufferPool = bufferPool;
+            this.maxBytes = maxBytes;
+            this.onComplete = onComplete;
+            this.onFailure = onFailure;
         }
 
         @Override
         public void handleEvent(StreamSourceChannel channel) {
             Body body;
-            try (PooledByteBuffer pooled = pool.allocate()) {
+            try (PooledByteBuffer pooled = bufferPool.allocate()) {
                 ByteBuffer buffer = pooled.getBuffer();
                 while (true) {
                     buffer.clear();
-                    int n = channel.read(buffer);
-                    if (n == 0) {
-                        if (!waiting) {
-                            waiting = true;
+                    int bytesRead = channel.read(buffer);
+                    if (bytesRead == 0) {
+                        if (!isAwaitingData) {
+                            isAwaitingData = true;
                             channel.getReadSetter().set(this);
                             channel.resumeReads();
                         }
                         return;
                     }
-                    if (n < 0) {
-                        body = new Body(size == held.length ? held : Arrays.copyOf(held, size), null);
+                    if (bytesRead < 0) {
+                        body = new Body(size == bytes.length ? bytes : Arrays.copyOf(bytes, size), null);
                         break;
                     }
                     buffer.flip();
-                    if (size + n > held.length) {
-                        held = Arrays.copyOf(held, Math.max(size + n, Math.min(held.length * 2, limit + n)));
+                    if (size + bytesRead > bytes.length) {
+                        bytes = Arrays.copyOf(
+                                bytes, Math.max(size + bytesRead, Math.min(bytes.length * 2, maxBytes + bytesRead)));
                     }
-                    buffer.get(held, size, n);
-                    size += n;
-                    if (size > limit) {
-                        body = new Body(Arrays.copyOf(held, size), channel);
+                    buffer.get(bytes, size, bytesRead);
+                    size += bytesRead;
+                    if (size > maxBytes) {
+                        body = new Body(Arrays.copyOf(bytes, size), channel);
                         break;
                     }
                 }
             } catch (IOException e) {
-                stop(channel);
-                failed.accept(e);
+                stopReading(channel);
+                onFailure.accept(e);
                 return;
             }
-            stop(channel);
-            done.accept(body);
+            stopReading(channel);
+            onComplete.accept(body);
         }
 
-        private void stop(StreamSourceChannel channel) {
-            if (waiting) {
+        private void stopReading(StreamSourceChannel channel) {
+            if (isAwaitingData) {
                 channel.suspendReads();
                 channel.getReadSetter().set(null);
             }
@@ -104,34 +105,43 @@
 
     /** Writes the beginning, then the rest as it comes, then ends the channel. What it returns stops it without a word. */
     public static Runnable write(
-            Body body, StreamSinkChannel sink, ByteBufferPool pool, Runnable done, Consumer<IOException> failed) {
-        Writer w = new Writer(body, sink, pool, done, failed);
-        w.run();
-        return w::stop;
+            Body body,
+            StreamSinkChannel sink,
+            ByteBufferPool bufferPool,
+            Runnable onComplete,
+            Consumer<IOException> onFailure) {
+        Writer writer = new Writer(body, sink, bufferPool, onComplete, onFailure);
+        writer.run();
+        return writer::cancel;
     }
 
     private static final class Writer {
         private final StreamSourceChannel source;
         private final StreamSinkChannel sink;
-        private final ByteBufferPool pool;
-        private final Runnable done;
-        private final Consumer<IOException> failed;
+        private final ByteBufferPool bufferPool;
+        private final Runnable onComplete;
+        private final Consumer<IOException> onFailure;
         private ByteBuffer chunk;
         private PooledByteBuffer pooled;
-        private boolean ended;
-        private boolean over;
-
-        Writer(Body body, StreamSinkChannel sink, ByteBufferPool pool, Runnable done, Consumer<IOException> failed) {
-            this.source = body.rest;
+        private boolean hasShutDownWrites;
+        private boolean isFinished;
+
+        Writer(
+                Body body,
+                StreamSinkChannel sink,
+                ByteBufferPool bufferPool,
+                Runnable onComplete,
+                Consumer<IOException> onFailure) {
+            this.source = body.remainder;
             this.sink = sink;
-            this.pool = pool;
-            this.done = done;
-            this.failed = failed;
-            this.chunk = ByteBuffer.wrap(body.head);
+            this.bufferPool = bufferPool;
+            this.onComplete = onComplete;
+            this.onFailure = onFailure;
+            this.chunk = ByteBuffer.wrap(body.prefix);
         }
 
         void run() {
-            if (over) {
+            if (isFinished) {
                 return;
             }
             try {
@@ -142,25 +152,25 @@
                             return;
                         }
                     }
-                    if (source != null && !ended) {
+                    if (source != null && !hasShutDownWrites) {
                         if (pooled == null) {
-                            pooled = pool.allocate();
+                            pooled = bufferPool.allocate();
                             chunk = pooled.getBuffer();
                         }
                         chunk.clear();
-                        int n = source.read(chunk);
+                        int bytesRead = source.read(chunk);
                         chunk.flip();
-                        if (n == 0) {
+                        if (bytesRead == 0) {
                             awaitSource();
                             return;
                         }
-                        if (n > 0) {
+                        if (bytesRead > 0) {
                             continue;
                         }
                         chunk = ByteBuffer.allocate(0);
                     }
-                    if (!ended) {
-                        ended = true;
+                    if (!hasShutDownWrites) {
+                        hasShutDownWrites = true;
                         sink.shutdownWrites();
                     }
                     if (!sink.flush()) {
@@ -179,35 +189,35 @@
             if (source != null) {
                 source.suspendReads();
             }
-            sink.getWriteSetter().set((ChannelListener<StreamSinkChannel>) c -> {
-                c.suspendWrites();
+            sink.getWriteSetter().set((ChannelListener<StreamSinkChannel>) channel -> {
+                channel.suspendWrites();
                 run();
             });
             sink.resumeWrites();
         }
 
         private void awaitSource() {
-            source.getReadSetter().set((ChannelListener<StreamSourceChannel>) c -> {
-                c.suspendReads();
+            source.getReadSetter().set((ChannelListener<StreamSourceChannel>) channel -> {
+                channel.suspendReads();
                 run();
             });
             source.resumeReads();
         }
 
-        private void stop() {
-            over = true;
+        private void cancel() {
+            isFinished = true;
             if (pooled != null) {
                 pooled.close();
                 pooled = null;
             }
         }
 
-        private void finish(IOException e) {
-            stop();
-            if (e == null) {
-                done.run();
+        private void finish(IOException failure) {
+            cancel();
+            if (failure == null) {
+                onComplete.run();
             } else {
-                failed.accept(e);
+                onFailure.accept(failure);
             }
         }
     }
--- a/src/main/java/bramblespool/transport/Clock.java
+++ b/src/main/java/bramblespool/transport/Clock.java
@@ -6,25 +6,25 @@
         void cancel();
     }
 
-    long now();
+    long nowMs();
 
     /** The time of day as this machine has it, which may be wrong and may jump. */
-    long wall();
+    long wallTimeMs();
 
-    Timer after(long ms, Runnable task);
+    Timer schedule(long delayMs, Runnable task);
 
     /** A number between 0 and 1 from this process's own source of chance. */
-    double chance();
+    double random();
 
-    default void soon(Runnable task) {
-        after(0, task);
+    default void execute(Runnable task) {
+        schedule(0, task);
     }
 
     /** Runs a task again and again until the loop ends. */
-    default void every(long ms, Runnable task) {
-        after(ms, () -> {
+    default void scheduleRepeatedly(long intervalMs, Runnable task) {
+        schedule(intervalMs, () -> {
             task.run();
-            every(ms, task);
+            scheduleRepeatedly(intervalMs, task);
         });
     }
 }
--- a/src/main/java/bramblespool/transport/Loop.java
+++ b/src/main/java/bramblespool/transport/EventLoop.java
@@ -12,7 +12,7 @@
 import org.xnio.XnioWorker;
 
 /** The process's one event loop: a single XNIO I/O thread. */
-public class Loop implements Clock {
+public class EventLoop implements Clock {
     /** XNIO's own threads keep small stacks; the deepest use is JSON of bounded depth. */
     private static final long STACK_BYTES = 512 << 10;
 
@@ -20,18 +20,18 @@
         // Nobody reads the libraries' management beans here, and the platform's server for them costs a fifth of a
         // start.
         // Whoever wants them sets these properties; what is set stands.
-        unlessSet("javax.management.builder.initial", NoBeans.class.getName());
-        unlessSet("jboss.threads.eqe.disable-mbean", "true");
+        setPropertyIfAbsent("javax.management.builder.initial", DisabledMBeanServerBuilder.class.getName());
+        setPropertyIfAbsent("jboss.threads.eqe.disable-mbean", "true");
     }
 
-    private static void unlessSet(String property, String value) {
+    private static void setPropertyIfAbsent(String property, String value) {
         if (System.getProperty(property) == null) {
             System.setProperty(property, value);
         }
     }
 
     /** Makes no server for management beans; the libraries go on without. */
-    public static final class NoBeans extends javax.management.MBeanServerBuilder {
+    public static final class DisabledMBeanServerBuilder extends javax.management.MBeanServerBuilder {
         @Override
         public javax.management.MBeanServerDelegate newMBeanServerDelegate() {
             throw new UnsupportedOperationException("no management beans");
@@ -39,13 +39,13 @@
     }
 
     private final XnioWorker worker;
-    private final XnioIoThread thread;
-    private final SplittableRandom chance = new SplittableRandom();
+    private final XnioIoThread ioThread;
+    private final SplittableRandom random = new SplittableRandom();
     private final EventLog log;
 
-    public Loop(EventLog log) throws IOException {
+    public EventLoop(EventLog log) throws IOException {
         this.log = log;
-        worker = Xnio.getInstance(Loop.class.getClassLoader())
+        worker = Xnio.getInstance(EventLoop.class.getClassLoader())
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
@@ -53,48 +53,48 @@
                         .set(Options.STACK_SIZE, STACK_BYTES)
                         .set(Options.THREAD_DAEMON, false)
                         .getMap());
-        thread = worker.getIoThread(0);
+        ioThread = worker.getIoThread(0);
     }
 
     XnioWorker worker() {
         return worker;
     }
 
-    XnioIoThread thread() {
-        return thread;
+    XnioIoThread ioThread() {
+        return ioThread;
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
     @Override
-    public long wall() {
+    public long wallTimeMs() {
         return System.currentTimeMillis();
     }
 
     @Override
-    public double chance() {
-        return chance.nextDouble();
+    public double random() {
+        return random.nextDouble();
     }
 
     @Override
-    public Timer after(long ms, Runnable task) {
-        if (ms <= 0) {
-            thread.execute(() -> guarded(task));
+    public Timer schedule(long delayMs, Runnable task) {
+        if (delayMs <= 0) {
+            ioThread.execute(() -> runGuarded(task));
             return () -> {};
         }
-        XnioExecutor.Key key = thread.executeAfter(() -> guarded(task), ms, TimeUnit.MILLISECONDS);
+        XnioExecutor.Key key = ioThread.executeAfter(() -> runGuarded(task), delayMs, TimeUnit.MILLISECONDS);
         return key::remove;
     }
 
     /** From any thread. */
     public void post(Runnable task) {
-        thread.execute(() -> guarded(task));
+        ioThread.execute(() -> runGuarded(task));
     }
 
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/src/main/java/bramblespool/transport/LibraryLog.java
+++ b/src/main/java/bramblespool/transport/LibraryLoggerProvider.java
@@ -8,40 +8,40 @@
  * Where the libraries log: warnings and worse go to standard error. The platform's own logging would do the same, but
  * costs a sixth of a start to set up. Found by its name under {@code META-INF/services}.
  */
-public final class LibraryLog implements LoggerProvider {
+public final class LibraryLoggerProvider implements LoggerProvider {
     /** What a peer sends that cannot be parsed is answered, and is no news of the library's. */
-    private static final String PARSING = "io.undertow.request";
+    private static final String REQUEST_PARSER_LOGGER = "io.undertow.request";
 
-    private static final class Plain extends Logger {
+    private static final class StandardErrorLogger extends Logger {
         private static final long serialVersionUID = 1L;
 
-        Plain(String name) {
+        StandardErrorLogger(String name) {
             super(name);
         }
 
         @Override
         public boolean isEnabled(Level level) {
-            return level.ordinal() <= Level.WARN.ordinal() && !getName().startsWith(PARSING);
+            return level.ordinal() <= Level.WARN.ordinal() && !getName().startsWith(REQUEST_PARSER_LOGGER);
         }
 
         @Override
         protected void doLog(
                 Level level, String loggerClassName, Object message, Object[] parameters, Throwable thrown) {
-            say(level, String.valueOf(message), thrown);
+            print(level, String.valueOf(message), thrown);
         }
 
         @Override
         protected void doLogf(
                 Level level, String loggerClassName, String format, Object[] parameters, Throwable thrown) {
             if (isEnabled(level)) {
-                say(
+                print(
                         level,
                         parameters == null || parameters.length == 0 ? format : String.format(format, parameters),
                         thrown);
             }
         }
 
-        private void say(Level level, String message, Throwable thrown) {
+        private void print(Level level, String message, Throwable thrown) {
             if (isEnabled(level)) {
                 System.err.println(level + " " + getName() + ": " + message + (thrown == null ? "" : ": " + thrown));
             }
@@ -50,7 +50,7 @@
 
     @Override
     public Logger getLogger(String name) {
-        return new Plain(name);
+        return new StandardErrorLogger(name);
     }
 
     @Override
--- a/src/main/java/bramblespool/transport/Wire.java
+++ b/src/main/java/bramblespool/transport/PeerTransport.java
@@ -5,12 +5,12 @@
 import java.util.function.Consumer;
 
 /** Messages between the system's own daemons: a call with one answer. */
-public interface Wire {
+public interface PeerTransport {
     /** The answer is null where none came in time or the peer refused; it comes exactly once. */
-    void call(String address, String kind, ObjectNode body, long timeoutMs, Consumer<JsonNode> answer);
+    void call(String address, String kind, ObjectNode body, long timeoutMs, Consumer<JsonNode> callback);
 
     /** Serves calls; answering null refuses. */
-    interface Service {
-        void serve(String kind, JsonNode body, Consumer<ObjectNode> answer);
+    interface RequestHandler {
+        void handleRequest(String kind, JsonNode body, Consumer<ObjectNode> callback);
     }
 }
--- a/src/main/java/bramblespool/transport/Platform.java
+++ b/src/main/java/bramblespool/transport/PlatformClient.java
@@ -3,13 +3,13 @@
 import java.util.function.Consumer;
 
 /** The platform that keeps the list of servers and takes reports. */
-public interface Platform {
+public interface PlatformClient {
     /** A page as it came; {@code body} is null where none came in time. */
-    record Page(int code, byte[] body) {}
+    record Response(int statusCode, byte[] body) {}
 
     /** Asks for a page of a zone's list; {@code token} is null for the first. */
-    void page(String zone, String token, Consumer<Page> answer);
+    void fetchPage(String zone, String pageToken, Consumer<Response> callback);
 
     /** Reports usage as the holder of that duty; the code is 0 where no whole answer came in time. */
-    void usage(String holder, long fence, String report, long withinMs, Consumer<Integer> code);
+    void reportUsage(String owner, long fencingToken, String report, long timeoutMs, Consumer<Integer> callback);
 }
--- a/src/test/java/bramblespool/Capacity.java
+++ b/src/test/java/bramblespool/Capacity.java
@@ -2,7 +2,7 @@
 
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.coordination.tenancy.AdmissionClient;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
 import bramblespool.sim.SimWorld;
@@ -229,10 +229,10 @@
         note(when + ": bytes sent by the leader a second", (after.get(leader)[1] - before.get(leader)[1]) / s);
     }
 
-    private static void order(SimMesh mesh, Orders.Change change, int sides) {
-        Orders.Outcome[] got = new Orders.Outcome[1];
+    private static void order(SimMesh mesh, OperatorRequest.ConfigurationChange change, int sides) {
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         mesh.order(change, o -> got[0] = o);
-        long epoch = change.tree().get("epoch").getAsLong();
+        long epoch = change.document().get("epoch").getAsLong();
         for (int i = 0; i < 1000; i++) {
             mesh.world.run(10);
             if (got[0] != null && mesh.wefts.values().stream().allMatch(x -> x.shadowCommit.epoch() == epoch)) {
--- a/src/test/java/bramblespool/CatchUpTest.java
+++ b/src/test/java/bramblespool/CatchUpTest.java
@@ -7,8 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import bramblespool.cli.StatusCommand;
 import bramblespool.coordination.controller.ControllerNode;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.MemberProgress;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
@@ -305,14 +306,14 @@
         ControllerNode l = mesh.leader();
         long behind = l.raft.lastApplied() - mesh.helms.get(back).raft.lastApplied();
         assertTrue(behind < 128, behind + " entries behind");
-        String text = Status.text(leader, status(l), false);
+        String text = StatusCommand.format(leader, status(l), false);
         assertTrue(text.contains("too slow for the changes"), text);
         assertTrue(text.contains("entries behind"), text);
     }
 
     private static ObjectNode status(ControllerNode h) {
         ObjectNode[] out = new ObjectNode[1];
-        h.serve("status", JsonNodeFactory.instance.objectNode(), n -> out[0] = n);
+        h.handleRequest("status", JsonNodeFactory.instance.objectNode(), n -> out[0] = n);
         return out[0];
     }
 
@@ -321,7 +322,7 @@
         begin(1, ROUTES);
         mesh.killHelm(back, true);
         changes(120, ROUTES);
-        String away = Status.text(leader, status(mesh.leader()), false);
+        String away = StatusCommand.format(leader, status(mesh.leader()), false);
         assertTrue(away.contains("silent for "), away);
         assertTrue(away.contains("follower " + third + "#0: has all"), away);
         machine(back).linkRate = 0.5 * MEGABIT;
@@ -343,7 +344,7 @@
             }
         }
         assertTrue(last > 10_000, last + " of the snapshot after a second");
-        String text = Status.text(leader, status(mesh.leader()), false);
+        String text = StatusCommand.format(leader, status(mesh.leader()), false);
         assertTrue(text.matches("(?s).*entries behind, at \\d+; \\d+ of \\d+ kB under way.*"), text);
     }
 
@@ -395,7 +396,7 @@
         int[] answers = new int[1];
         List<Long> stored = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            b.serve("part", part(b, s, s.data()), n -> {
+            b.handleRequest("part", part(b, s, s.data()), n -> {
                 answers[0] += n.has("stored") ? 0 : 1;
                 stored.add(n.path("stored").asLong(s.index()));
             });
@@ -439,7 +440,7 @@
         DurableStore.Snapshot s = machine(leader).disk.load().snapshot();
         DurableStore.PersistentState before = machine(back).disk.load();
         machine(back).disk.slowMs = 30;
-        b.serve("part", part(b, s, s.data()), n -> {});
+        b.handleRequest("part", part(b, s, s.data()), n -> {});
         mesh.world.run(seed * 12);
         mesh.killHelm(back, seed % 2 == 0);
         DurableStore.PersistentState after = machine(back).disk.load();
@@ -465,7 +466,7 @@
         DurableStore.Snapshot s = machine(leader).disk.load().snapshot();
         String state = b.replicatedState().snapshot().toString();
         ObjectNode[] answer = new ObjectNode[1];
-        b.serve("part", part(b, s, damaged(s.data())), n -> answer[0] = n);
+        b.handleRequest("part", part(b, s, damaged(s.data())), n -> answer[0] = n);
         assertNotNull(answer[0]);
         assertFalse(answer[0].path("ok").asBoolean());
         assertEquals(state, b.replicatedState().snapshot().toString());
@@ -672,8 +673,8 @@
     @Test
     void anOrderTakenHundredsOfChangesAgoIsNotRefused() {
         begin(6, 1);
-        Orders.Change first = SimMesh.change(epoch + 1, epoch, "first");
-        Orders.Outcome[] got = new Orders.Outcome[1];
+        OperatorRequest.ConfigurationChange first = SimMesh.change(epoch + 1, epoch, "first");
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         mesh.order(first, o -> got[0] = o);
         mesh.world.run(1000);
         assertEquals(200, got[0].status());
@@ -683,7 +684,7 @@
         mesh.world.run(1000);
         assertNotNull(got[0]);
         assertEquals(200, got[0].status(), "the order of " + 530 + " changes ago");
-        Orders.Outcome[] other = new Orders.Outcome[1];
+        OperatorRequest.Result[] other = new OperatorRequest.Result[1];
         mesh.order(SimMesh.change(epoch + 9, 1, "stale"), o -> other[0] = o);
         mesh.world.run(1000);
         assertEquals(412, other[0].status(), "one that was never taken");
--- a/src/test/java/bramblespool/ClusterTest.java
+++ b/src/test/java/bramblespool/ClusterTest.java
@@ -8,7 +8,7 @@
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.coordination.membership.EndpointDirectory;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.state.ReplicatedState;
@@ -26,8 +26,8 @@
 
 /** Whole clusters on a simulated network, clock and disks. */
 class ClusterTest {
-    private static Orders.Outcome order(SimMesh mesh, long epoch, long base, String prefix) {
-        Orders.Outcome[] got = new Orders.Outcome[1];
+    private static OperatorRequest.Result order(SimMesh mesh, long epoch, long base, String prefix) {
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         mesh.order(SimMesh.change(epoch, base, prefix), o -> got[0] = o);
         for (int i = 0; i < 60 && got[0] == null; i++) {
             mesh.world.run(50);
@@ -92,7 +92,7 @@
             mesh.world.run(4000);
             order(mesh, 5, 0, "one");
             mesh.world.run(500);
-            Orders.Outcome[] got = new Orders.Outcome[1];
+            OperatorRequest.Result[] got = new OperatorRequest.Result[1];
             mesh.order(SimMesh.change(6, 5, "two"), o -> got[0] = o);
             mesh.world.run(cutAt);
             String led = mesh.leader().raft.localId().split("#")[0];
--- a/src/test/java/bramblespool/FormsTest.java
+++ b/src/test/java/bramblespool/FormsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.sim.SimMesh;
 import bramblespool.state.CompressedDocument;
 import bramblespool.state.EventLog;
@@ -91,7 +91,7 @@
                 () -> RoutingConfiguration.compile(GOOD.replace(from, to)));
         assertThrows(
                 RoutingConfiguration.InvalidConfigurationException.class,
-                () -> Orders.change(false, GOOD.replace(from, to).getBytes(StandardCharsets.UTF_8)));
+                () -> OperatorRequest.parseChange(false, GOOD.replace(from, to).getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
@@ -101,9 +101,16 @@
                 RoutingConfiguration.InvalidConfigurationException.class,
                 () -> RoutingConfiguration.compile(GOOD + "{}"));
         byte[] bytes = GOOD.getBytes(StandardCharsets.UTF_8);
-        assertEquals(5, Orders.change(false, bytes).tree().get("epoch").getAsLong());
+        assertEquals(
+                5,
+                OperatorRequest.parseChange(false, bytes)
+                        .document()
+                        .get("epoch")
+                        .getAsLong());
         bytes[GOOD.indexOf("x.example")] = (byte) 0xff;
-        assertThrows(RoutingConfiguration.InvalidConfigurationException.class, () -> Orders.change(false, bytes));
+        assertThrows(
+                RoutingConfiguration.InvalidConfigurationException.class,
+                () -> OperatorRequest.parseChange(false, bytes));
     }
 
     @Test
@@ -254,8 +261,12 @@
     void dependenciesGoOnlyDownwards() {
         Architectures.layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
-                .layer("role")
-                .definedBy("bramblespool.role..")
+                .layer("cli")
+                .definedBy("bramblespool.cli..")
+                .layer("process")
+                .definedBy("bramblespool.process..")
+                .layer("proxy")
+                .definedBy("bramblespool.proxy..")
                 .layer("coordination")
                 .definedBy("bramblespool.coordination..")
                 .layer("protocol")
@@ -266,18 +277,22 @@
                 .definedBy("bramblespool.raft..")
                 .layer("state")
                 .definedBy("bramblespool.state..")
-                .whereLayer("role")
+                .whereLayer("cli")
                 .mayNotBeAccessedByAnyLayer()
+                .whereLayer("process")
+                .mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("proxy")
+                .mayOnlyBeAccessedByLayers("process")
                 .whereLayer("coordination")
-                .mayOnlyBeAccessedByLayers("role")
+                .mayOnlyBeAccessedByLayers("process", "proxy")
                 .whereLayer("raft")
-                .mayOnlyBeAccessedByLayers("role", "coordination")
+                .mayOnlyBeAccessedByLayers("cli", "process", "proxy", "coordination")
                 .whereLayer("protocol")
-                .mayOnlyBeAccessedByLayers("role", "coordination")
+                .mayOnlyBeAccessedByLayers("cli", "process", "proxy", "coordination")
                 .whereLayer("transport")
-                .mayOnlyBeAccessedByLayers("role", "coordination", "raft", "protocol")
+                .mayOnlyBeAccessedByLayers("cli", "process", "proxy", "coordination", "raft", "protocol")
                 .whereLayer("state")
-                .mayOnlyBeAccessedByLayers("role", "coordination", "raft", "protocol", "transport")
+                .mayOnlyBeAccessedByLayers("cli", "process", "proxy", "coordination", "raft", "protocol", "transport")
                 .check(new ClassFileImporter()
                         .withImportOption(new ImportOption.DoNotIncludeTests())
                         .importPackages("bramblespool"));
--- a/src/test/java/bramblespool/GateTest.java
+++ b/src/test/java/bramblespool/GateTest.java
@@ -10,7 +10,7 @@
 import bramblespool.coordination.traffic.RetryBudgetLeases;
 import bramblespool.coordination.traffic.ServerAdmission;
 import bramblespool.coordination.traffic.ServerAdmissions;
-import bramblespool.protocol.Beat;
+import bramblespool.protocol.Heartbeat;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
 import bramblespool.state.EventLog;
@@ -49,7 +49,7 @@
     }
 
     private String beat(String id, boolean draining, long cold) {
-        return gate.onHeartbeat(new Beat(id, "desk", "10.0.1.1:9000", "a", 6, draining, cold, ++seq));
+        return gate.onHeartbeat(new Heartbeat(id, "desk", "10.0.1.1:9000", "a", 6, draining, cold, ++seq));
     }
 
     private void send(int rank, long work) {
@@ -63,7 +63,7 @@
                     arrivals.add(world.now());
                     running++;
                     mostRunning = Math.max(mostRunning, running);
-                    machine.after(work, () -> {
+                    machine.schedule(work, () -> {
                         running--;
                         t[0].release(true);
                     });
@@ -192,10 +192,10 @@
         beat("i2", false, 0);
         beat("i1", false, 0);
         assertEquals("i2", gate.serverId());
-        assertNull(gate.onHeartbeat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, true, 0, 1)));
+        assertNull(gate.onHeartbeat(new Heartbeat("i2", "desk", "10.0.1.1:9000", "a", 6, true, 0, 1)));
         assertTrue(gate.isAccepting(), "an old callSeq does not drain");
-        assertNotNull(gate.onHeartbeat(new Beat("i3", "other", "10.0.1.1:9000", "a", 6, false, 0, 99)));
-        assertNotNull(gate.onHeartbeat(new Beat("i3", "desk", "10.9.9.9:9000", "a", 6, false, 0, 99)));
+        assertNotNull(gate.onHeartbeat(new Heartbeat("i3", "other", "10.0.1.1:9000", "a", 6, false, 0, 99)));
+        assertNotNull(gate.onHeartbeat(new Heartbeat("i3", "desk", "10.9.9.9:9000", "a", 6, false, 0, 99)));
     }
 
     /** Where this process does not remember the lives before, a late beat of an old one looks new; the server's own word counts. */
@@ -204,9 +204,9 @@
         beat("i2", false, 0);
         beat("i1", false, 0);
         assertEquals("i1", gate.serverId());
-        assertNull(gate.onHeartbeat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
+        assertNull(gate.onHeartbeat(new Heartbeat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
         gate.markUnreachable("i1");
-        assertNull(gate.onHeartbeat(new Beat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
+        assertNull(gate.onHeartbeat(new Heartbeat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
         assertFalse(gate.isAccepting(), "nor does a late beat of the other bring that one back");
         beat("i2", false, 0);
         assertEquals("i2", gate.serverId());
--- a/src/test/java/bramblespool/GatewayTest.java
+++ b/src/test/java/bramblespool/GatewayTest.java
@@ -7,13 +7,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.dataplane.DataPlaneNode;
-import bramblespool.protocol.Listing;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
+import bramblespool.protocol.RegistryPage;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
-import bramblespool.transport.Platform;
+import bramblespool.transport.PlatformClient;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
@@ -235,7 +235,7 @@
                 };
         String page = "{\"servers\":{\"a\":[" + entry + "],\"b\":[],\"c\":[]},\"nextToken\":"
                 + (how.equals("endless") ? "\"p\"" : "null") + "}";
-        platform.instead = new Platform.Page(
+        platform.instead = new PlatformClient.Response(
                 how.equals("429") ? 429 : how.equals("silence") ? 0 : 200,
                 how.equals("silence")
                         ? null
@@ -244,7 +244,7 @@
         if (!how.equals("429") && !how.equals("silence") && !how.equals("endless")) {
             assertThrows(
                     RoutingConfiguration.InvalidConfigurationException.class,
-                    () -> Listing.read(platform.instead.body()));
+                    () -> RegistryPage.parse(platform.instead.body()));
         }
         int before = platform.calls.values().stream().mapToInt(i -> i).sum();
         mesh.world.run(6000);
@@ -268,7 +268,7 @@
                 .put("n", 99);
         old.putArray("servers");
         ObjectNode[] got = new ObjectNode[1];
-        hem.serve("assign", old, a -> got[0] = a);
+        hem.handleRequest("assign", old, a -> got[0] = a);
         assertFalse(got[0].path("ok").asBoolean());
         assertEquals(mine, hem.admissions.serverIds());
     }
@@ -298,7 +298,7 @@
         SimMesh m = new SimMesh(seed, 5, 2, 2, platform);
         m.world.run(6000);
         assertEquals(5, m.leader().raft.voters().size());
-        Orders.Outcome[] got = new Orders.Outcome[1];
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         m.order(SimMesh.change(5, 0, "one"), o -> got[0] = o);
         while (got[0] == null) {
             m.world.run(1);
--- a/src/test/java/bramblespool/HundredsTest.java
+++ b/src/test/java/bramblespool/HundredsTest.java
@@ -7,7 +7,7 @@
 
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.dataplane.DataPlaneNode;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
@@ -57,8 +57,8 @@
                 .count();
     }
 
-    private Orders.Outcome order(Orders.Change change, long withinMs) {
-        Orders.Outcome[] got = new Orders.Outcome[1];
+    private OperatorRequest.Result order(OperatorRequest.ConfigurationChange change, long withinMs) {
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         mesh.order(change, o -> got[0] = o);
         for (long t = 0; t < withinMs && got[0] == null; t += 20) {
             mesh.world.run(20);
@@ -112,7 +112,7 @@
         assertEquals(200, order(SimMesh.change(5, 0, "one"), 1000).status());
         mesh.world.run(1000);
         int[] most = new int[1];
-        Orders.Outcome got = order(mesh.large(6, 5, 2000), 5000);
+        OperatorRequest.Result got = order(mesh.large(6, 5, 2000), 5000);
         assertNotNull(got, "acknowledged within ack");
         assertEquals(200, got.status());
         for (int t = 0; t < 2500; t += 50) {
@@ -152,7 +152,7 @@
         mesh.world.run(8000);
         assertEquals(200, order(SimMesh.change(5, 0, "one"), 1000).status());
         mesh.world.run(800);
-        Orders.Outcome[] got = new Orders.Outcome[1];
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         mesh.order(SimMesh.change(6, 5, "two"), o -> got[0] = o);
         mesh.world.run(killedAfter);
         mesh.killHelm(RaftNode.addressOf(mesh.leader().raft.leaderId()), true);
@@ -185,11 +185,11 @@
             lost = Math.max(lost, (int)
                     mesh.wefts.values().stream().filter(w -> !w.hasSession()).count());
             ObjectNode[] status = new ObjectNode[1];
-            mesh.helms.get(slow).serve("status", JsonNodeFactory.instance.objectNode(), n -> status[0] = n);
+            mesh.helms.get(slow).handleRequest("status", JsonNodeFactory.instance.objectNode(), n -> status[0] = n);
             if (status[0].path("strained").asBoolean()) {
                 strained = true;
                 ObjectNode[] digest = new ObjectNode[] {status[0]};
-                mesh.helms.get(slow).serve("digest", JsonNodeFactory.instance.objectNode(), n -> digest[0] = n);
+                mesh.helms.get(slow).handleRequest("digest", JsonNodeFactory.instance.objectNode(), n -> digest[0] = n);
                 assertNull(digest[0], "a comparison waits for better times");
             }
         }
