--- a/src/test/java/bramblespool/LimitsTest.java
+++ b/src/test/java/bramblespool/LimitsTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.role.Helm;
-import bramblespool.role.Weft;
+import bramblespool.process.ControllerProcess;
+import bramblespool.process.SidecarProcess;
 import bramblespool.sim.SimMesh;
 import bramblespool.state.EventLog;
 import bramblespool.state.Settings;
-import bramblespool.transport.Loop;
+import bramblespool.transport.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -48,14 +48,14 @@
         for (ServerSocket s : held) {
             s.close();
         }
-        Loop loop = new Loop(EventLog.silent());
+        EventLoop loop = new EventLoop(EventLog.silent());
         CountDownLatch up = new CountDownLatch(1);
         Settings helm = settings("core", HELM);
         Settings weft = settings("sidecar", WEFT);
         loop.post(() -> {
             try {
-                new Helm(helm, loop, EventLog.silent());
-                new Weft(weft, loop, EventLog.silent());
+                new ControllerProcess(helm, loop, EventLog.silent());
+                new SidecarProcess(weft, loop, EventLog.silent());
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
--- a/src/test/java/bramblespool/MajorityTest.java
+++ b/src/test/java/bramblespool/MajorityTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.controller.ControllerNode;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.state.ReplicatedState;
@@ -21,8 +21,8 @@
 class MajorityTest {
     private static final int SEEDS = 10;
 
-    private static Orders.Outcome order(SimMesh mesh, long epoch, long base) {
-        Orders.Outcome[] got = new Orders.Outcome[1];
+    private static OperatorRequest.Result order(SimMesh mesh, long epoch, long base) {
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         for (int i = 0; i < 60 && (got[0] == null || got[0].status() == 503); i++) {
             got[0] = null;
             mesh.order(SimMesh.change(epoch, base, "v" + epoch), o -> got[0] = o);
@@ -60,7 +60,7 @@
                 mesh.world.cut(old, h, !h.equals(old));
                 mesh.world.cut(h, old, !h.equals(old) && !oneWay);
             }
-            Orders.Outcome[] taken = new Orders.Outcome[1];
+            OperatorRequest.Result[] taken = new OperatorRequest.Result[1];
             for (int i = 0; i < 400 && (taken[0] == null || taken[0].status() != 200); i++) {
                 for (ControllerNode h : mesh.helms.values()) {
                     if (h != cutOff && h.raft.isLeader()) {
@@ -142,7 +142,7 @@
         String next = mesh.leader() == null ? mesh.helms.keySet().iterator().next() : leader(mesh);
         mesh.killHelm(next, true);
         mesh.world.run(4000);
-        Orders.Outcome o = order(mesh, 6, 5);
+        OperatorRequest.Result o = order(mesh, 6, 5);
         return mesh.leader() != null && o != null && o.status() == 200;
     }
 
--- a/src/test/java/bramblespool/OperationTest.java
+++ b/src/test/java/bramblespool/OperationTest.java
@@ -68,7 +68,7 @@
                                 }
                                 runs.merge(key, 1, Integer::sum);
                                 // The answer, if any, comes while this process lives.
-                                m.after(20 + random.nextInt(200), () -> {
+                                m.schedule(20 + random.nextInt(200), () -> {
                                     if (what < 3) {
                                         w.idempotencyTable.markUnknown(o);
                                         told.accept(502);
--- a/src/test/java/bramblespool/RestingTest.java
+++ b/src/test/java/bramblespool/RestingTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import bramblespool.role.Resting;
+import bramblespool.proxy.IdleConnections;
 import bramblespool.sim.SimWorld;
 import java.nio.channels.Channel;
 import java.util.ArrayList;
@@ -32,24 +32,24 @@
 
     private final SimWorld world = new SimWorld(1);
     private final List<String> closed = new ArrayList<>();
-    private Resting<Connection> resting;
+    private IdleConnections<Connection> resting;
 
     @BeforeEach
     void boot() {
         SimWorld.Machine machine = world.machine("10.0.1.1:7000");
         machine.boot();
-        resting = new Resting<>(machine, 1000);
+        resting = new IdleConnections<>(machine, 1000);
     }
 
     private Connection rest(String name) {
         Connection c = new Connection(name);
-        resting.ends(c);
+        resting.onRequestEnded(c);
         return c;
     }
 
     private List<String> after(long ms) {
         world.run(ms);
-        resting.sweep();
+        resting.closeExpired();
         return closed;
     }
 
@@ -58,10 +58,10 @@
         Connection busy = rest("busy");
         rest("idle");
         assertEquals(List.of(), after(900));
-        resting.begins(busy);
+        resting.onRequestStarted(busy);
         assertEquals(List.of("idle"), after(100));
         assertEquals(List.of("idle"), after(5000));
-        resting.ends(busy);
+        resting.onRequestEnded(busy);
         assertEquals(List.of("idle", "busy"), after(1000));
     }
 
@@ -69,11 +69,11 @@
     void aBoundThatRisesHoldsAtOnceAndOneThatFallsForRestsToCome() {
         rest("first");
         world.run(500);
-        resting.bound(3000);
+        resting.setIdleLimit(3000);
         assertEquals(List.of(), after(2400));
         assertEquals(List.of("first"), after(100));
         rest("second");
-        resting.bound(200);
+        resting.setIdleLimit(200);
         rest("third");
         assertEquals(List.of("first", "third"), after(200));
         assertEquals(List.of("first", "third"), after(2700));
@@ -82,9 +82,9 @@
 
     @Test
     void atTheEndAllThatRestAreClosed() {
-        resting.begins(rest("busy"));
+        resting.onRequestStarted(rest("busy"));
         rest("idle");
-        resting.close();
+        resting.closeIdle();
         assertEquals(List.of("idle"), closed);
     }
 }
--- a/src/test/java/bramblespool/SocketTest.java
+++ b/src/test/java/bramblespool/SocketTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.Neighbour;
-import bramblespool.role.Helm;
-import bramblespool.role.Weft;
+import bramblespool.process.ControllerProcess;
+import bramblespool.process.SidecarProcess;
 import bramblespool.sim.SimMesh;
 import bramblespool.state.EventLog;
 import bramblespool.state.Settings;
-import bramblespool.transport.Loop;
+import bramblespool.transport.EventLoop;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -47,7 +47,7 @@
     private static final int GUARD_MS = 120_000;
 
     /** A loop whose clock goes slowly once all is up: what a busy machine takes is nothing to its leases, deadlines and buckets. */
-    private static final class SlowLoop extends Loop {
+    private static final class SlowLoop extends EventLoop {
         private static final int FACTOR = 20;
         private long since = -1;
 
@@ -56,17 +56,17 @@
         }
 
         void slow() {
-            post(() -> since = super.now());
+            post(() -> since = super.nowMs());
         }
 
         @Override
-        public long now() {
-            return since < 0 ? super.now() : since + (super.now() - since) / FACTOR;
+        public long nowMs() {
+            return since < 0 ? super.nowMs() : since + (super.nowMs() - since) / FACTOR;
         }
 
         @Override
-        public Timer after(long ms, Runnable task) {
-            return super.after(since < 0 ? ms : ms * FACTOR, task);
+        public Timer schedule(long ms, Runnable task) {
+            return super.schedule(since < 0 ? ms : ms * FACTOR, task);
         }
     }
 
@@ -90,8 +90,8 @@
         Settings weft = settings("sidecar", WEFT);
         loop.post(() -> {
             try {
-                new Helm(helm, loop, EventLog.silent());
-                new Weft(weft, loop, EventLog.silent());
+                new ControllerProcess(helm, loop, EventLog.silent());
+                new SidecarProcess(weft, loop, EventLog.silent());
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
--- a/src/test/java/bramblespool/TermTest.java
+++ b/src/test/java/bramblespool/TermTest.java
@@ -7,14 +7,14 @@
 
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.dataplane.DataPlaneNode;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimPlatform;
 import bramblespool.state.CompressedDocument;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -39,8 +39,8 @@
 class TermTest {
     private static final int QUIET = 3000;
 
-    private static Orders.Outcome order(SimMesh mesh, long epoch, long base, String prefix) {
-        Orders.Outcome[] got = new Orders.Outcome[1];
+    private static OperatorRequest.Result order(SimMesh mesh, long epoch, long base, String prefix) {
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         for (int i = 0; i < 100 && (got[0] == null || got[0].status() == 503); i++) {
             if (i % 20 == 0) {
                 mesh.order(SimMesh.change(epoch, base, prefix), o -> got[0] = o);
@@ -75,7 +75,7 @@
 
     private static JsonNode status(SimMesh mesh, String peer) {
         JsonNode[] got = new JsonNode[1];
-        mesh.wefts.get(peer).serve("status", JsonNodeFactory.instance.objectNode(), a -> got[0] = a);
+        mesh.wefts.get(peer).handleRequest("status", JsonNodeFactory.instance.objectNode(), a -> got[0] = a);
         return got[0];
     }
 
@@ -161,13 +161,13 @@
 
     /** Commits a change while messages of an earlier commit come in; nobody stays unconfirmed, nobody goes back. */
     private static void commits(SimMesh mesh, long epoch, long base, List<Runnable> late) {
-        Orders.Outcome[] got = new Orders.Outcome[1];
+        OperatorRequest.Result[] got = new OperatorRequest.Result[1];
         mesh.order(SimMesh.change(epoch, base, "won"), o -> got[0] = o);
         Random r = mesh.world.random;
         long from = mesh.world.random.nextInt(60);
         late.forEach(m -> mesh.world.at(from + r.nextInt(4), m));
         mesh.world.run(1500);
-        assertEquals(200, got[0].status(), got[0].word());
+        assertEquals(200, got[0].status(), got[0].message());
         assertEquals(Set.of(), mesh.leader().commitCoordinator.unconfirmed(), "late from " + from);
         mesh.wefts.forEach((p, w) -> {
             assertEquals(epoch, w.shadowCommit.epoch(), p);
@@ -568,7 +568,7 @@
         assertEquals(200, order(mesh, 6, 5, "two").status());
         mesh.world.run(1500);
         int[] asked = new int[1];
-        Map<String, Wire.Service> all = new HashMap<>(mesh.helms);
+        Map<String, PeerTransport.RequestHandler> all = new HashMap<>(mesh.helms);
         mesh.wefts.forEach((p, w) -> all.put(p, w));
         all.forEach((p, s) -> mesh.world.machine(p).serve((kind, m, answer) -> {
             if (kind.equals("doc")) {
@@ -576,7 +576,7 @@
                 answer.accept(
                         JsonNodeFactory.instance.objectNode().put("doc", document(6, "rival").compressedDocument));
             } else {
-                s.serve(kind, m, answer);
+                s.handleRequest(kind, m, answer);
             }
         }));
         mesh.world.isolate(away, false);
--- a/src/test/java/bramblespool/model/Door.java
+++ b/src/test/java/bramblespool/model/Door.java
@@ -1,9 +1,9 @@
 package bramblespool.model;
 
 import bramblespool.coordination.controller.ControllerNode;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.state.RoutingConfiguration;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /** A helm as its peers and operators reach it: what its process does with an order, without the HTTP around it. */
-final class Door implements Wire.Service {
+final class Door implements PeerTransport.RequestHandler {
     static final String KIND = "operator";
 
     private final ControllerNode helm;
@@ -23,9 +23,9 @@
     }
 
     @Override
-    public void serve(String kind, JsonNode m, Consumer<ObjectNode> answer) {
+    public void handleRequest(String kind, JsonNode m, Consumer<ObjectNode> answer) {
         if (!kind.equals(KIND)) {
-            helm.serve(kind, m, answer);
+            helm.handleRequest(kind, m, answer);
             return;
         }
         if (!RaftView.leads(helm)) {
@@ -60,9 +60,9 @@
     }
 
     private void change(JsonNode m, Consumer<ObjectNode> answer) {
-        Orders.Change change;
+        OperatorRequest.ConfigurationChange change;
         try {
-            change = Orders.change(false, m.path("doc").asText().getBytes(StandardCharsets.UTF_8));
+            change = OperatorRequest.parseChange(false, m.path("doc").asText().getBytes(StandardCharsets.UTF_8));
         } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/bramblespool/model/Operators.java
+++ b/src/test/java/bramblespool/model/Operators.java
@@ -1,6 +1,6 @@
 package bramblespool.model;
 
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.sim.SimMesh;
 import bramblespool.sim.SimWorld;
 import bramblespool.state.RoutingConfiguration;
@@ -78,7 +78,7 @@
         String document = SimMesh.document(number, known, "p" + name);
         String digest;
         try {
-            digest = Orders.change(false, document.getBytes(StandardCharsets.UTF_8))
+            digest = OperatorRequest.parseChange(false, document.getBytes(StandardCharsets.UTF_8))
                     .digest();
         } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
@@ -159,7 +159,7 @@
         if (status == 307 && redirects > 0) {
             attempt(e, a.path("location").asText().replace(":8000", ":7000"), pause, redirects - 1, done);
         } else if (status == 0 || status == 307 || status == 503) {
-            machine.after(pause, () -> attempt(e, next(to), Math.min(LONGEST_PAUSE, pause * 2), REDIRECTS, done));
+            machine.schedule(pause, () -> attempt(e, next(to), Math.min(LONGEST_PAUSE, pause * 2), REDIRECTS, done));
         } else if (e.done < 0) {
             e.done = world.now();
             e.status = status;
--- a/src/test/java/bramblespool/role/Scene.java
+++ b/src/test/java/bramblespool/role/Scene.java
@@ -3,16 +3,19 @@
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.membership.EndpointDirectory;
-import bramblespool.protocol.Beat;
+import bramblespool.protocol.Heartbeat;
+import bramblespool.proxy.InboundHandler;
+import bramblespool.proxy.OutboundHandler;
+import bramblespool.proxy.ServerForwarder;
 import bramblespool.sim.SimMesh;
 import bramblespool.state.EventLog;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
-import bramblespool.transport.HttpWire;
-import bramblespool.transport.Loop;
-import bramblespool.transport.Ports;
-import bramblespool.transport.Upstream;
+import bramblespool.transport.EventLoop;
+import bramblespool.transport.HttpPeerTransport;
+import bramblespool.transport.Listeners;
+import bramblespool.transport.UpstreamClient;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.undertow.server.HttpHandler;
@@ -48,11 +51,11 @@
             + (1 + ProcessHandle.current().pid() % 250);
 
     private static final long NEVER_MS = 1_000_000_000;
-    private static final Loop LOOP = loop();
+    private static final EventLoop LOOP = loop();
 
-    private static Loop loop() {
+    private static EventLoop loop() {
         try {
-            return new Loop(EventLog.silent());
+            return new EventLoop(EventLog.silent());
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -69,24 +72,24 @@
         private long orders;
 
         @Override
-        public long now() {
+        public long nowMs() {
             return now;
         }
 
         @Override
-        public long wall() {
+        public long wallTimeMs() {
             return now;
         }
 
         @Override
-        public double chance() {
+        public double random() {
             return chance.nextDouble();
         }
 
         @Override
-        public Timer after(long ms, Runnable task) {
+        public Timer schedule(long ms, Runnable task) {
             if (ms <= 0) {
-                return LOOP.after(0, task);
+                return LOOP.schedule(0, task);
             }
             Due d = new Due(now + ms, ++orders, task);
             waiting.add(d);
@@ -109,8 +112,8 @@
 
     final HeldClock clock = new HeldClock();
     final StandIn.Book book = new StandIn.Book();
-    final HttpWire wire;
-    private final List<Ports> ports = new ArrayList<>();
+    final HttpPeerTransport wire;
+    private final List<Listeners> ports = new ArrayList<>();
     private final List<StandIn> ends = new ArrayList<>();
     private final String outbound;
     /** Where calls between daemons come in at a real one. */
@@ -132,16 +135,16 @@
         for (int i = 0; i < 2; i++) {
             String server = end(StandIn.Hop.SERVER);
             DataPlaneNode core = core("in-" + i, "desk", server, config);
-            Ports p = ports();
+            Listeners p = ports();
             String at = listen(p, on(() -> {
-                core.onHeartbeat(new Beat("i-1", "desk", server, "z", 8, false, 0, 1));
-                Upstream upstream = new Upstream(LOOP, p.buffers());
-                return new Inbound(
+                core.onHeartbeat(new Heartbeat("i-1", "desk", server, "z", 8, false, 0, 1));
+                UpstreamClient upstream = new UpstreamClient(LOOP, p.bufferPool());
+                return new InboundHandler(
                         clock,
                         core.shadowCommit,
                         core.admissions,
-                        new Courier(clock, upstream, null, NEVER_MS, NEVER_MS),
-                        p.buffers(),
+                        new ServerForwarder(clock, upstream, null, NEVER_MS, NEVER_MS),
+                        p.bufferPool(),
                         "desk",
                         (from, mark) -> {},
                         () -> false);
@@ -153,29 +156,29 @@
         inbound = first;
         peer = end(StandIn.Hop.MESSAGE);
         DataPlaneNode core = core("out", "own", "127.0.0.1:1", config);
-        Ports p = ports();
-        Upstream upstream = on(() -> new Upstream(LOOP, p.buffers()));
-        wire = new HttpWire(clock, upstream, p.buffers(), NEVER_MS, EventLog.silent());
+        Listeners p = ports();
+        UpstreamClient upstream = on(() -> new UpstreamClient(LOOP, p.bufferPool()));
+        wire = new HttpPeerTransport(clock, upstream, p.bufferPool(), NEVER_MS, EventLog.silent());
         outbound = listen(p, on(() -> {
             for (ObjectNode d : doors) {
                 core.endpointDirectory.onUpdate(new GossipStore.GossipEntry(
                         EndpointDirectory.PROXY_KEY_PREFIX + d.path("inbound").asText(), 1, 1, d));
             }
-            return new Outbound(
+            return new OutboundHandler(
                     clock,
                     core,
-                    new Courier(clock, upstream, null, NEVER_MS, NEVER_MS),
+                    new ServerForwarder(clock, upstream, null, NEVER_MS, NEVER_MS),
                     upstream,
-                    p.buffers(),
+                    p.bufferPool(),
                     "out",
                     "own",
-                    new Upstream.Manner(NEVER_MS, NEVER_MS, Courier.BUFFERED),
-                    new Outbound.Doubts() {
+                    new UpstreamClient.ConnectionOptions(NEVER_MS, NEVER_MS, ServerForwarder.MAX_BUFFERED_BYTES),
+                    new OutboundHandler.ProxyObserver() {
                         @Override
-                        public void silent(EndpointDirectory.Proxy peer) {}
+                        public void onProxySilent(EndpointDirectory.Proxy peer) {}
 
                         @Override
-                        public void behind() {}
+                        public void onVersionMismatch() {}
                     },
                     EventLog.silent());
         }));
@@ -207,14 +210,14 @@
         return s.address();
     }
 
-    private Ports ports() {
-        Ports p = new Ports(LOOP, EventLog.silent());
+    private Listeners ports() {
+        Listeners p = new Listeners(LOOP, EventLog.silent());
         ports.add(p);
         return p;
     }
 
     /** Listens at a free port, and at another where that was taken meanwhile. */
-    private static String listen(Ports p, HttpHandler handler) throws IOException {
+    private static String listen(Listeners p, HttpHandler handler) throws IOException {
         while (true) {
             String at;
             try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(IP))) {
@@ -222,7 +225,8 @@
             }
             boolean listening = on(() -> {
                 try {
-                    p.listen(at, handler, Ports.bounds(1 << 20, 100 << 20, (int) NEVER_MS, (int) NEVER_MS));
+                    p.listen(
+                            at, handler, Listeners.listenerOptions(1 << 20, 100 << 20, (int) NEVER_MS, (int) NEVER_MS));
                     return true;
                 } catch (BindException e) {
                     return false;
@@ -332,7 +336,7 @@
             s.close();
         }
         on(() -> {
-            ports.forEach(Ports::close);
+            ports.forEach(Listeners::close);
             return null;
         });
     }
--- a/src/test/java/bramblespool/sim/SimMesh.java
+++ b/src/test/java/bramblespool/sim/SimMesh.java
@@ -2,8 +2,8 @@
 
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.dataplane.DataPlaneNode;
-import bramblespool.protocol.Beat;
-import bramblespool.protocol.Orders;
+import bramblespool.protocol.Heartbeat;
+import bramblespool.protocol.OperatorRequest;
 import bramblespool.state.EventLog;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
@@ -190,9 +190,9 @@
         DataPlaneNode w = startSide(peer, wefts);
         SimWorld.Machine m = world.machine(peer);
         String id = "s-" + peer + "-" + ++beats;
-        m.every(
+        m.scheduleRepeatedly(
                 1500,
-                () -> w.onHeartbeat(new Beat(
+                () -> w.onHeartbeat(new Heartbeat(
                         id, "desk", peer.substring(0, peer.indexOf(':')) + ":9000", "a", 6, false, 0, ++beats)));
     }
 
@@ -241,12 +241,12 @@
                 """.formatted(epoch, base, prefix);
     }
 
-    public static Orders.Change change(long epoch, long base, String prefix) {
+    public static OperatorRequest.ConfigurationChange change(long epoch, long base, String prefix) {
         return change(document(epoch, base, prefix));
     }
 
     /** A change with so many routes, no two alike, that nothing much is saved by packing them. */
-    public Orders.Change large(long epoch, long base, int routes) {
+    public OperatorRequest.ConfigurationChange large(long epoch, long base, int routes) {
         StringBuilder rows = new StringBuilder();
         for (int i = 0; i < routes; i++) {
             rows.append(i == 0 ? "" : ",")
@@ -261,16 +261,16 @@
         return change(one.substring(0, from) + rows + one.substring(one.indexOf("]]", from) + 1));
     }
 
-    private static Orders.Change change(String document) {
+    private static OperatorRequest.ConfigurationChange change(String document) {
         try {
-            return Orders.change(false, document.getBytes(StandardCharsets.UTF_8));
+            return OperatorRequest.parseChange(false, document.getBytes(StandardCharsets.UTF_8));
         } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** Sends a change to whoever leads now; nothing is heard where nobody does or the leader goes. */
-    public void order(Orders.Change change, Consumer<Orders.Outcome> done) {
+    public void order(OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> done) {
         ControllerNode l = leader();
         if (l != null) {
             l.submitChange(change, done);
--- a/src/test/java/bramblespool/sim/SimPlatform.java
+++ b/src/test/java/bramblespool/sim/SimPlatform.java
@@ -1,6 +1,6 @@
 package bramblespool.sim;
 
-import bramblespool.transport.Platform;
+import bramblespool.transport.PlatformClient;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
     public final Map<String, Integer> calls = new HashMap<>();
     public int pageSize = 4;
     /** What is answered in place of the list, as status and body; null for the list. */
-    public Platform.Page instead;
+    public PlatformClient.Response instead;
     /** Run after a page has been handed out, with the peer address of who asked. */
     public java.util.function.Consumer<String> served = peer -> {};
 
@@ -32,20 +32,20 @@
         list.computeIfPresent(id, (k, s) -> s.leaving());
     }
 
-    Platform seenBy(SimWorld.Machine m) {
-        return new Platform() {
+    PlatformClient seenBy(SimWorld.Machine m) {
+        return new PlatformClient() {
             @Override
-            public void page(String zone, String token, java.util.function.Consumer<Page> answer) {
-                m.after(2, () -> {
+            public void fetchPage(String zone, String token, java.util.function.Consumer<Response> answer) {
+                m.schedule(2, () -> {
                     calls.merge(m.peer, 1, Integer::sum);
-                    Platform.Page p = instead != null ? instead : SimPlatform.this.page(zone, token);
-                    m.after(2, () -> answer.accept(p));
+                    PlatformClient.Response p = instead != null ? instead : SimPlatform.this.page(zone, token);
+                    m.schedule(2, () -> answer.accept(p));
                     served.accept(m.peer);
                 });
             }
 
             @Override
-            public void usage(
+            public void reportUsage(
                     String holder,
                     long fence,
                     String report,
@@ -58,12 +58,12 @@
                         code.accept(c);
                     }
                 };
-                m.after(withinMs, () -> once.accept(0));
+                m.schedule(withinMs, () -> once.accept(0));
                 // What is on its way arrives whatever becomes of the sender.
                 m.world().at(2 + slowMs, () -> {
                     int c = reported(holder, fence, report, m.world().now());
                     if (c > 0) {
-                        m.after(2, () -> once.accept(c));
+                        m.schedule(2, () -> once.accept(c));
                     }
                 });
             }
@@ -96,7 +96,7 @@
         return code == 200 && lost.getAsBoolean() ? 0 : code;
     }
 
-    private Platform.Page page(String zone, String token) {
+    private PlatformClient.Response page(String zone, String token) {
         List<Server> of = new ArrayList<>(list.values());
         of.removeIf(s -> !s.zone.equals(zone));
         int from = token == null ? 0 : Integer.parseInt(token);
@@ -119,6 +119,6 @@
         b.append("]},\"nextToken\":")
                 .append(from + pageSize < of.size() ? "\"" + (from + pageSize) + "\"" : "null")
                 .append('}');
-        return new Platform.Page(200, b.toString().getBytes(StandardCharsets.UTF_8));
+        return new PlatformClient.Response(200, b.toString().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/bramblespool/sim/SimWorld.java
+++ b/src/test/java/bramblespool/sim/SimWorld.java
@@ -2,7 +2,7 @@
 
 import bramblespool.state.DurableStore;
 import bramblespool.transport.Clock;
-import bramblespool.transport.Wire;
+import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -140,7 +140,7 @@
     }
 
     /** A machine with one process at a time; each start is a new life. */
-    public final class Machine implements Wire, Clock {
+    public final class Machine implements PeerTransport, Clock {
         public final String peer;
         /** Bytes that its link carries in a millisecond, each way; 0: any number. */
         public double linkRate;
@@ -164,7 +164,7 @@
 
         private int life;
         private boolean up;
-        private Service service;
+        private RequestHandler service;
         public final Disk disk = new Disk(this);
 
         private Machine(String peer) {
@@ -185,7 +185,7 @@
             up = true;
         }
 
-        public void serve(Service s) {
+        public void serve(RequestHandler s) {
             service = s;
         }
 
@@ -232,7 +232,7 @@
         }
 
         @Override
-        public long now() {
+        public long nowMs() {
             return now;
         }
 
@@ -244,12 +244,12 @@
         }
 
         @Override
-        public long wall() {
+        public long wallTimeMs() {
             return 1_000_000_000L + now + skewMs;
         }
 
         @Override
-        public Timer after(long ms, Runnable task) {
+        public Timer schedule(long ms, Runnable task) {
             boolean[] off = new boolean[1];
             timer(ms, task, off);
             return () -> off[0] = true;
@@ -273,7 +273,7 @@
         }
 
         @Override
-        public double chance() {
+        public double random() {
             return random.nextDouble();
         }
 
@@ -318,7 +318,7 @@
                     return;
                 }
                 JsonNode request = wire.read();
-                to.service.serve(kind, request, out -> {
+                to.service.handleRequest(kind, request, out -> {
                     if (tap != null && out != null) {
                         tap.answered(to, kind, request, out);
                     }
