--- a/src/test/java/bramblespool/model/History.java
+++ b/src/test/java/bramblespool/model/History.java
@@ -12,23 +12,23 @@
     /** A change as an operator sends it. */
     static final class Change {
         /** So many letters of a digest are kept in a ledger. */
-        private static final int KNOWN_BY = 32;
+        private static final int DIGEST_LENGTH = 32;
 
         final int name;
         final long base;
         final long number;
         final String document;
         final String digest;
-        long sent = Long.MAX_VALUE;
-        long taken = Long.MAX_VALUE;
-        int refused;
+        long sentAt = Long.MAX_VALUE;
+        long acknowledgedAt = Long.MAX_VALUE;
+        int rejectionStatus;
 
         Change(int name, long base, long number, String document, String digest) {
             this.name = name;
             this.base = base;
             this.number = number;
             this.document = document;
-            this.digest = digest.substring(0, KNOWN_BY);
+            this.digest = digest.substring(0, DIGEST_LENGTH);
         }
 
         @Override
@@ -38,58 +38,60 @@
     }
 
     /** A refusal of a change, or a read-back, of {@code number}, which began and ended at these steps. */
-    private record Seen(long began, long ended, Change refused, long number) {}
+    private record Observation(long startedAt, long endedAt, Change rejected, long number) {}
 
     private final Map<String, Change> byDigest = new HashMap<>();
-    private final Map<Long, Change> takenOn = new HashMap<>();
-    private final List<Seen> seen = new ArrayList<>();
+    private final Map<Long, Change> acknowledgedByBase = new HashMap<>();
+    private final List<Observation> observations = new ArrayList<>();
     /** The versions agreed, in order: digest and number. */
     final Map<String, Long> versions = new LinkedHashMap<>();
 
-    void sent(Change c, long step) {
-        byDigest.put(c.digest, c);
-        c.sent = Math.min(c.sent, step);
+    void recordSent(Change change, long step) {
+        byDigest.put(change.digest, change);
+        change.sentAt = Math.min(change.sentAt, step);
     }
 
-    void taken(Change c, long step) {
-        if (c.refused != 0) {
-            throw new Broken("RefusedStaysOut", c + " was refused " + c.refused + " and is acknowledged");
+    void recordAcknowledged(Change change, long step) {
+        if (change.rejectionStatus != 0) {
+            throw new InvariantViolation(
+                    "RefusedStaysOut", change + " was refused " + change.rejectionStatus + " and is acknowledged");
         }
-        Change rival = takenOn.putIfAbsent(c.base, c);
-        if (rival != null && rival != c) {
-            throw new Broken("OneChangeOnEachVersion", rival + " and " + c + " are both acknowledged");
+        Change rival = acknowledgedByBase.putIfAbsent(change.base, change);
+        if (rival != null && rival != change) {
+            throw new InvariantViolation("OneChangeOnEachVersion", rival + " and " + change + " are both acknowledged");
         }
-        c.taken = Math.min(c.taken, step);
+        change.acknowledgedAt = Math.min(change.acknowledgedAt, step);
     }
 
-    void refused(Change c, int status, long began, long step) {
-        c.refused = status;
-        if (c.taken != Long.MAX_VALUE) {
-            throw new Broken("TakenIsNotRefused", c + " was acknowledged and is refused " + status);
+    void recordRejected(Change change, int status, long startedAt, long endedAt) {
+        change.rejectionStatus = status;
+        if (change.acknowledgedAt != Long.MAX_VALUE) {
+            throw new InvariantViolation("TakenIsNotRefused", change + " was acknowledged and is refused " + status);
         }
-        if (versions.containsKey(c.digest)) {
-            throw new Broken("TakenIsNotRefused", c + " is agreed and is refused " + status);
+        if (versions.containsKey(change.digest)) {
+            throw new InvariantViolation("TakenIsNotRefused", change + " is agreed and is refused " + status);
         }
-        seen.add(new Seen(began, step, c, 0));
+        observations.add(new Observation(startedAt, endedAt, change, 0));
     }
 
-    void read(long number, long began, long step) {
-        seen.add(new Seen(began, step, null, number));
+    void recordRead(long number, long startedAt, long endedAt) {
+        observations.add(new Observation(startedAt, endedAt, null, number));
     }
 
     /** Takes up the versions as a helm has agreed them. */
-    void agreed(Map<String, Long> more) {
-        if (more.size() <= versions.size() && versions.keySet().containsAll(more.keySet())) {
+    void recordCommitted(Map<String, Long> committed) {
+        if (committed.size() <= versions.size() && versions.keySet().containsAll(committed.keySet())) {
             return;
         }
-        more.forEach((digest, number) -> {
+        committed.forEach((digest, number) -> {
             if (versions.putIfAbsent(digest, number) == null) {
-                Change c = byDigest.get(digest);
-                if (c == null || c.number != number) {
-                    throw new Broken("OnlyWhatWasSent", "version " + number + " is no order's");
+                Change change = byDigest.get(digest);
+                if (change == null || change.number != number) {
+                    throw new InvariantViolation("OnlyWhatWasSent", "version " + number + " is no order's");
                 }
-                if (c.refused != 0) {
-                    throw new Broken("RefusedStaysOut", c + " was refused " + c.refused + " and is agreed");
+                if (change.rejectionStatus != 0) {
+                    throw new InvariantViolation(
+                            "RefusedStaysOut", change + " was refused " + change.rejectionStatus + " and is agreed");
                 }
             }
         });
@@ -99,64 +101,70 @@
      * Whether all that was heard fits one register that goes through the agreed versions in their order: each refusal and
      * each read gets the first place in that order that it allows and that no earlier answer has passed.
      */
-    void linearizable() {
-        List<Change> order = new ArrayList<>();
-        long last = 0;
+    void checkLinearizable() {
+        List<Change> committed = new ArrayList<>();
+        long lastVersion = 0;
         for (String digest : versions.keySet()) {
-            Change c = byDigest.get(digest);
-            if (c.base != last || c.number <= last) {
-                throw new Broken("Linearizable", c + " is agreed on top of " + last);
+            Change change = byDigest.get(digest);
+            if (change.base != lastVersion || change.number <= lastVersion) {
+                throw new InvariantViolation("Linearizable", change + " is agreed on top of " + lastVersion);
             }
-            last = c.number;
-            order.add(c);
+            lastVersion = change.number;
+            committed.add(change);
         }
-        for (Change c : byDigest.values()) {
-            if (c.taken != Long.MAX_VALUE && !versions.containsKey(c.digest)) {
-                throw new Broken("AcknowledgedIsKept", c + " was acknowledged and is not among " + versions.values());
+        for (Change change : byDigest.values()) {
+            if (change.acknowledgedAt != Long.MAX_VALUE && !versions.containsKey(change.digest)) {
+                throw new InvariantViolation(
+                        "AcknowledgedIsKept", change + " was acknowledged and is not among " + versions.values());
             }
         }
-        seen.sort(Comparator.comparingLong(Seen::began));
+        observations.sort(Comparator.comparingLong(Observation::startedAt));
         // Places that are passed for whatever begins after a step.
         List<long[]> passed = new ArrayList<>();
-        for (int k = 0; k < order.size(); k++) {
-            if (order.get(k).taken != Long.MAX_VALUE) {
-                passed.add(new long[] {order.get(k).taken, k + 1});
+        for (int k = 0; k < committed.size(); k++) {
+            if (committed.get(k).acknowledgedAt != Long.MAX_VALUE) {
+                passed.add(new long[] {committed.get(k).acknowledgedAt, k + 1});
             }
         }
-        for (Seen s : seen) {
-            int from = passedBefore(passed, s.began);
-            int place = from;
-            while (place <= order.size() && !fits(s, order, place)) {
-                place++;
+        for (Observation observation : observations) {
+            int from = lastPositionPassedBefore(passed, observation.startedAt);
+            int position = from;
+            while (position <= committed.size() && !isConsistentAt(observation, committed, position)) {
+                position++;
             }
-            if (place > order.size() || place > 0 && order.get(place - 1).sent >= s.ended) {
-                String what = s.refused != null ? s.refused + " was refused" : s.number + " was read";
-                throw new Broken(
+            if (position > committed.size()
+                    || position > 0 && committed.get(position - 1).sentAt >= observation.endedAt) {
+                String description = observation.rejected != null
+                        ? observation.rejected + " was refused"
+                        : observation.number + " was read";
+                throw new InvariantViolation(
                         "Linearizable",
-                        what + " when " + (from == 0 ? 0 : order.get(from - 1).number)
+                        description + " when " + (from == 0 ? 0 : committed.get(from - 1).number)
                                 + " had been told as current, of " + versions.values());
             }
-            passed.add(new long[] {s.ended, place});
+            passed.add(new long[] {observation.endedAt, position});
         }
-        for (int k = 0; k < order.size(); k++) {
-            if (passedBefore(passed, order.get(k).sent) > k) {
-                throw new Broken("Linearizable", order.get(k) + " was told of before it was sent");
+        for (int k = 0; k < committed.size(); k++) {
+            if (lastPositionPassedBefore(passed, committed.get(k).sentAt) > k) {
+                throw new InvariantViolation("Linearizable", committed.get(k) + " was told of before it was sent");
             }
         }
     }
 
-    private static int passedBefore(List<long[]> passed, long step) {
-        int out = 0;
-        for (long[] p : passed) {
-            if (p[0] < step && p[1] > out) {
-                out = (int) p[1];
+    private static int lastPositionPassedBefore(List<long[]> positions, long step) {
+        int lastPosition = 0;
+        for (long[] passedPosition : positions) {
+            if (passedPosition[0] < step && passedPosition[1] > lastPosition) {
+                lastPosition = (int) passedPosition[1];
             }
         }
-        return out;
+        return lastPosition;
     }
 
-    private static boolean fits(Seen s, List<Change> order, int place) {
-        long current = place == 0 ? 0 : order.get(place - 1).number;
-        return s.refused == null ? current == s.number : s.refused.base != current && order.indexOf(s.refused) < 0;
+    private static boolean isConsistentAt(Observation observation, List<Change> committed, int position) {
+        long current = position == 0 ? 0 : committed.get(position - 1).number;
+        return observation.rejected == null
+                ? current == observation.number
+                : observation.rejected.base != current && committed.indexOf(observation.rejected) < 0;
     }
 }
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -2,11 +2,11 @@
 
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.dataplane.DataPlaneNode;
-import bramblespool.sim.SimMesh;
-import bramblespool.sim.SimWorld;
 import bramblespool.state.DurableStore;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.testing.SimulatedMesh;
+import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -19,194 +19,204 @@
 import java.util.Map;
 
 /** What must hold after every event, seen from outside: in messages, on disks, in ledgers and in answers. */
-final class Invariants implements SimWorld.Tap {
+final class Invariants implements Simulator.Observer {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** An acknowledgement is under way for no longer than this. */
-    private static final long LATELY = 1000;
+    private static final long LOST_DISK_GRACE_MS = 1000;
 
-    private record Vote(long term, String on) {}
+    private record Vote(long term, String candidate) {}
 
-    private record Place(long index, long term) {}
+    private record LogPosition(long index, long term) {}
 
     /** What an entry is, and the term of the one before it. */
-    private record Content(String data, long before) {}
+    private record EntryContent(String data, long previousTerm) {}
 
-    private final SimMesh mesh;
+    private final SimulatedMesh mesh;
     private final History history;
-    private final int copies;
+    private final int requiredReplicas;
     private final Map<Long, String> leaders = new HashMap<>();
     private final Map<String, Vote> votes = new HashMap<>();
-    private final Map<Place, Content> entries = new HashMap<>();
-    private final Map<Long, DurableStore.LogEntry> agreed = new HashMap<>();
-    private final Map<Long, String> states = new HashMap<>();
-    private final Map<ControllerNode, Long> applied = new IdentityHashMap<>();
-    private final Map<ControllerNode, Long> led = new IdentityHashMap<>();
-    private final Map<DataPlaneNode, Long> epochs = new IdentityHashMap<>();
-    private final Map<Long, String> stamps = new HashMap<>();
-    private final Map<DurableStore.PersistentState, Long> lost = new IdentityHashMap<>();
-    private long highestAcked;
+    private final Map<LogPosition, EntryContent> entryContents = new HashMap<>();
+    private final Map<Long, DurableStore.LogEntry> committed = new HashMap<>();
+    private final Map<Long, String> stateByIndex = new HashMap<>();
+    private final Map<ControllerNode, Long> appliedByController = new IdentityHashMap<>();
+    private final Map<ControllerNode, Long> termLedByController = new IdentityHashMap<>();
+    private final Map<DataPlaneNode, Long> versionBySidecar = new IdentityHashMap<>();
+    private final Map<Long, String> stampByVersion = new HashMap<>();
+    private final Map<DurableStore.PersistentState, Long> recentlyLostDisks = new IdentityHashMap<>();
+    private long highestAcknowledged;
     private long highestTerm;
 
-    Invariants(SimMesh mesh, History history, int losses) {
+    Invariants(SimulatedMesh mesh, History history, int losses) {
         this.mesh = mesh;
         this.history = history;
-        this.copies = losses + 1;
+        this.requiredReplicas = losses + 1;
     }
 
     // ---- messages
 
     @Override
-    public void sent(SimWorld.Machine from, String kind, ObjectNode body) {
-        if (RaftView.fromLeader(kind)) {
-            leads(body.path("term").asLong(), body.path("from").asText());
+    public void onSent(Simulator.Machine from, String kind, ObjectNode body) {
+        if (RaftView.isSentByLeader(kind)) {
+            recordLeader(body.path("term").asLong(), body.path("from").asText());
         }
     }
 
     /** Whoever answers yes to a vote or to entries has them on its disk. */
     @Override
-    public void answered(SimWorld.Machine by, String kind, JsonNode request, JsonNode answer) {
+    public void onAnswered(Simulator.Machine machine, String kind, JsonNode request, JsonNode answer) {
         boolean vote = kind.equals("vote")
                 && !request.path("pre").asBoolean()
                 && answer.path("ok").asBoolean();
-        long told = RaftView.told(kind, request, answer);
+        long told = RaftView.acknowledgedIndex(kind, request, answer);
         if (!vote && told == 0) {
             return;
         }
-        DurableStore.PersistentState s = by.disk.load();
-        String member = by.peer + "#" + s.incarnation();
+        DurableStore.PersistentState saved = machine.disk.load();
+        String member = machine.peer + "#" + saved.incarnation();
         long term = request.path("term").asLong();
         if (vote) {
-            vote(member, term, request.path("from").asText());
+            recordVote(member, term, request.path("from").asText());
         }
-        if (s.currentTerm() > term) {
+        if (saved.currentTerm() > term) {
             return;
         }
-        long base = s.snapshot() == null ? 0 : s.snapshot().index();
-        long last = s.entries().isEmpty()
+        long base = saved.snapshot() == null ? 0 : saved.snapshot().index();
+        long last = saved.entries().isEmpty()
                 ? base
-                : s.entries().get(s.entries().size() - 1).index();
-        if (vote ? s.currentTerm() < term || !request.path("from").asText().equals(s.votedFor()) : last < told) {
-            throw new Broken("DurableBeforeTold", member + " says yes to " + kind + " before its disk has it");
+                : saved.entries().get(saved.entries().size() - 1).index();
+        if (vote
+                ? saved.currentTerm() < term || !request.path("from").asText().equals(saved.votedFor())
+                : last < told) {
+            throw new InvariantViolation(
+                    "DurableBeforeTold", member + " says yes to " + kind + " before its disk has it");
         }
     }
 
-    private void vote(String member, long term, String on) {
-        Vote v = votes.get(member);
-        if (v != null && v.term == term && !v.on.equals(on)) {
-            throw new Broken("OneVoteATerm", member + " votes for " + v.on + " and " + on + " in term " + term);
+    private void recordVote(String member, long term, String candidate) {
+        Vote vote = votes.get(member);
+        if (vote != null && vote.term == term && !vote.candidate.equals(candidate)) {
+            throw new InvariantViolation(
+                    "OneVoteATerm", member + " votes for " + vote.candidate + " and " + candidate + " in term " + term);
         }
-        if (v == null || v.term < term) {
-            votes.put(member, new Vote(term, on));
+        if (vote == null || vote.term < term) {
+            votes.put(member, new Vote(term, candidate));
         }
     }
 
-    private void leads(long term, String member) {
+    private void recordLeader(long term, String member) {
         highestTerm = Math.max(highestTerm, term);
         String other = leaders.putIfAbsent(term, member);
         if (other != null && !other.equals(member)) {
-            throw new Broken("OneLeaderATerm", other + " and " + member + " lead in term " + term);
+            throw new InvariantViolation("OneLeaderATerm", other + " and " + member + " lead in term " + term);
         }
     }
 
     // ---- disks
 
     @Override
-    public void wrote(
-            SimWorld.Machine at,
-            DurableStore.Change c,
+    public void onWritten(
+            Simulator.Machine machine,
+            DurableStore.Change change,
             DurableStore.PersistentState before,
             DurableStore.PersistentState after) {
-        String member = at.peer + "#" + after.incarnation();
-        if (c.currentTerm() < before.currentTerm()) {
-            throw new Broken(
-                    "TermsOnlyRise", member + " goes from term " + before.currentTerm() + " to " + c.currentTerm());
+        String member = machine.peer + "#" + after.incarnation();
+        if (change.currentTerm() < before.currentTerm()) {
+            throw new InvariantViolation(
+                    "TermsOnlyRise",
+                    member + " goes from term " + before.currentTerm() + " to " + change.currentTerm());
         }
-        if (c.votedFor() != null) {
-            vote(member, c.currentTerm(), c.votedFor());
+        if (change.votedFor() != null) {
+            recordVote(member, change.currentTerm(), change.votedFor());
         }
-        if (c.truncateFrom() > 0 && c.truncateFrom() <= before.commitIndex() && c.snapshot() == null) {
-            throw new Broken("AgreedStays", member + " drops what it held as agreed, from " + c.truncateFrom());
+        if (change.truncateFrom() > 0 && change.truncateFrom() <= before.commitIndex() && change.snapshot() == null) {
+            throw new InvariantViolation(
+                    "AgreedStays", member + " drops what it held as agreed, from " + change.truncateFrom());
         }
-        if (c.snapshot() != null
+        if (change.snapshot() != null
                 && before.snapshot() != null
-                && c.snapshot().index() < before.snapshot().index()) {
-            throw new Broken("AgreedStays", member + " takes an older snapshot");
+                && change.snapshot().index() < before.snapshot().index()) {
+            throw new InvariantViolation("AgreedStays", member + " takes an older snapshot");
         }
-        if (c.snapshot() != null) {
-            state(c.snapshot().index(), RaftView.state(c.snapshot()), member);
+        if (change.snapshot() != null) {
+            checkState(change.snapshot().index(), RaftView.snapshotState(change.snapshot()), member);
         }
-        match(member, c, after);
+        checkLogsMatch(member, change, after);
     }
 
-    private void match(String member, DurableStore.Change c, DurableStore.PersistentState after) {
-        List<DurableStore.LogEntry> log = after.entries();
-        for (int i = log.size() - 1; i >= 0; i--) {
-            DurableStore.LogEntry e = log.get(i);
-            DurableStore.LogEntry one = i > 0 ? log.get(i - 1) : null;
-            if (one != null && one.index() != e.index() - 1) {
-                throw new Broken("LogsMatch", member + " has a gap before " + e.index());
+    private void checkLogsMatch(String member, DurableStore.Change change, DurableStore.PersistentState after) {
+        List<DurableStore.LogEntry> entryList = after.entries();
+        for (int i = entryList.size() - 1; i >= 0; i--) {
+            DurableStore.LogEntry entry = entryList.get(i);
+            DurableStore.LogEntry previous = i > 0 ? entryList.get(i - 1) : null;
+            if (previous != null && previous.index() != entry.index() - 1) {
+                throw new InvariantViolation("LogsMatch", member + " has a gap before " + entry.index());
             }
-            if (i < log.size() - c.appendedEntries().size()) {
+            if (i < entryList.size() - change.appendedEntries().size()) {
                 break;
             }
-            long termBefore = one != null
-                    ? one.term()
+            long termBefore = previous != null
+                    ? previous.term()
                     : after.snapshot() != null ? after.snapshot().term() : -1;
-            Content content = new Content(e.data(), termBefore);
-            Content other = entries.putIfAbsent(new Place(e.index(), e.term()), content);
+            EntryContent content = new EntryContent(entry.data(), termBefore);
+            EntryContent other = entryContents.putIfAbsent(new LogPosition(entry.index(), entry.term()), content);
             if (other != null
                     && (!other.data.equals(content.data)
-                            || other.before >= 0 && termBefore >= 0 && other.before != termBefore)) {
-                throw new Broken("LogsMatch", member + " differs at " + e.index() + " of term " + e.term());
+                            || other.previousTerm >= 0 && termBefore >= 0 && other.previousTerm != termBefore)) {
+                throw new InvariantViolation(
+                        "LogsMatch", member + " differs at " + entry.index() + " of term " + entry.term());
             }
         }
-        for (int i = log.size() - 1; i >= 0; i--) {
-            DurableStore.LogEntry e = log.get(i);
-            if (e.index() > after.commitIndex()) {
+        for (int i = entryList.size() - 1; i >= 0; i--) {
+            DurableStore.LogEntry entry = entryList.get(i);
+            if (entry.index() > after.commitIndex()) {
                 continue;
             }
-            DurableStore.LogEntry known = agreed.putIfAbsent(e.index(), e);
-            if (known == e
+            DurableStore.LogEntry known = committed.putIfAbsent(entry.index(), entry);
+            if (known == entry
                     || known != null
-                            && known.equals(e)
-                            && i < log.size() - c.appendedEntries().size() - 8) {
+                            && known.equals(entry)
+                            && i < entryList.size() - change.appendedEntries().size() - 8) {
                 break;
             }
-            if (known != null && !known.equals(e)) {
-                throw new Broken("AgreedStays", member + " holds another entry " + e.index() + " as agreed");
+            if (known != null && !known.equals(entry)) {
+                throw new InvariantViolation(
+                        "AgreedStays", member + " holds another entry " + entry.index() + " as agreed");
             }
         }
     }
 
     /** Whether this disk has a change's candidate and its decision, or a snapshot that knows it as taken. */
-    private static boolean holds(DurableStore.PersistentState s, History.Change c) {
+    private static boolean holdsChange(DurableStore.PersistentState saved, History.Change change) {
         boolean decided = false;
-        for (int i = s.entries().size() - 1; i >= 0; i--) {
-            String data = s.entries().get(i).data();
+        for (int i = saved.entries().size() - 1; i >= 0; i--) {
+            String data = saved.entries().get(i).data();
             boolean candidate = data.startsWith("{\"k\":\"candidate\"");
             if ((candidate || data.startsWith("{\"k\":\"decide\""))
-                    && read(data).path("epoch").asLong() == c.number) {
+                    && parse(data).path("epoch").asLong() == change.number) {
                 if (candidate && decided) {
-                    return data.contains(c.digest);
+                    return data.contains(change.digest);
                 }
                 decided = !candidate;
             }
         }
-        return s.snapshot() != null && s.snapshot().data() != null && folded(s).isCommitted(c.digest);
+        return saved.snapshot() != null
+                && saved.snapshot().data() != null
+                && replayed(saved).isCommitted(change.digest);
     }
 
     /** Who folds what a disk holds into a ledger: what this helm would know were it alone and all there agreed. */
-    private static ReplicatedState folded(DurableStore.PersistentState s) {
-        ReplicatedState out = new ReplicatedState();
-        if (s.snapshot() != null && s.snapshot().data() != null) {
-            out.restore(read(RaftView.state(s.snapshot())));
+    private static ReplicatedState replayed(DurableStore.PersistentState saved) {
+        ReplicatedState replayedState = new ReplicatedState();
+        if (saved.snapshot() != null && saved.snapshot().data() != null) {
+            replayedState.restore(parse(RaftView.snapshotState(saved.snapshot())));
         }
-        s.entries().forEach(e -> out.apply(e.index(), read(e.data())));
-        return out;
+        saved.entries().forEach(e -> replayedState.apply(e.index(), parse(e.data())));
+        return replayedState;
     }
 
-    private static JsonNode read(String data) {
+    private static JsonNode parse(String data) {
         try {
             return JSON.readTree(data);
         } catch (JsonProcessingException e) {
@@ -217,120 +227,129 @@
     // ---- answers
 
     /** A disk is about to be lost: for a moment it counts among those that an entry had reached. */
-    void wiped(SimWorld.Machine m) {
-        if (m.disk.load() != null) {
-            lost.put(m.disk.load(), mesh.world.now());
+    void onDiskWiped(Simulator.Machine machine) {
+        if (machine.disk.load() != null) {
+            recentlyLostDisks.put(machine.disk.load(), mesh.simulator.nowMs());
         }
     }
 
     private List<DurableStore.PersistentState> disks() {
         List<DurableStore.PersistentState> out = new ArrayList<>();
-        mesh.world.machines().forEach(m -> out.add(m.disk.load()));
-        lost.values().removeIf(at -> mesh.world.now() - at > LATELY);
-        out.addAll(lost.keySet());
+        mesh.simulator.machines().forEach(m -> out.add(m.disk.load()));
+        recentlyLostDisks.values().removeIf(at -> mesh.simulator.nowMs() - at > LOST_DISK_GRACE_MS);
+        out.addAll(recentlyLostDisks.keySet());
         out.removeIf(s -> s == null);
         return out;
     }
 
-    void acknowledged(History.Change c) {
-        highestAcked = Math.max(highestAcked, c.number);
-        int held = 0;
-        for (DurableStore.PersistentState s : disks()) {
-            if (holds(s, c)) {
-                held++;
+    void onChangeAcknowledged(History.Change change) {
+        highestAcknowledged = Math.max(highestAcknowledged, change.number);
+        int replicaCount = 0;
+        for (DurableStore.PersistentState saved : disks()) {
+            if (holdsChange(saved, change)) {
+                replicaCount++;
             }
         }
-        if (held < copies) {
-            throw new Broken("AcknowledgedOnEnoughDisks", c + " is on " + held + " disks as it is acknowledged");
+        if (replicaCount < requiredReplicas) {
+            throw new InvariantViolation(
+                    "AcknowledgedOnEnoughDisks", change + " is on " + replicaCount + " disks as it is acknowledged");
         }
     }
 
-    void evacuationAcknowledged(String zone, boolean on) {
-        int held = 0;
-        for (DurableStore.PersistentState s : disks()) {
-            ReplicatedState.Evacuation e = folded(s).evacuations().get(zone);
-            if (e == null ? !on : e.isEvacuated() == on) {
-                held++;
+    void onEvacuationAcknowledged(String zone, boolean isEvacuated) {
+        int replicaCount = 0;
+        for (DurableStore.PersistentState saved : disks()) {
+            ReplicatedState.Evacuation evacuation =
+                    replayed(saved).evacuations().get(zone);
+            if (evacuation == null ? !isEvacuated : evacuation.isEvacuated() == isEvacuated) {
+                replicaCount++;
             }
         }
-        if (held < copies) {
-            throw new Broken("AcknowledgedOnEnoughDisks", "evacuation of " + zone + " is on " + held + " disks");
+        if (replicaCount < requiredReplicas) {
+            throw new InvariantViolation(
+                    "AcknowledgedOnEnoughDisks", "evacuation of " + zone + " is on " + replicaCount + " disks");
         }
     }
 
     // ---- after each event
 
     void check() {
-        for (ControllerNode h : mesh.helms.values()) {
-            long at = RaftView.applied(h);
-            Long before = applied.get(h);
-            if (before == null || before != at) {
-                if (before != null && at < before) {
-                    throw new Broken("AgreedStays", RaftView.member(h) + " goes back from " + before + " to " + at);
+        for (ControllerNode controller : mesh.controllers.values()) {
+            long appliedIndex = RaftView.applied(controller);
+            Long previous = appliedByController.get(controller);
+            if (previous == null || previous != appliedIndex) {
+                if (previous != null && appliedIndex < previous) {
+                    throw new InvariantViolation(
+                            "AgreedStays",
+                            RaftView.memberId(controller) + " goes back from " + previous + " to " + appliedIndex);
                 }
-                applied.put(h, at);
-                JsonNode s = h.replicatedState().snapshot();
-                state(at, s.toString(), RaftView.member(h));
+                appliedByController.put(controller, appliedIndex);
+                JsonNode snapshot = controller.replicatedState().snapshot();
+                checkState(appliedIndex, snapshot.toString(), RaftView.memberId(controller));
                 Map<String, Long> versions = new LinkedHashMap<>();
-                s.path("taken")
+                snapshot.path("taken")
                         .fields()
                         .forEachRemaining(
                                 f -> versions.put(f.getKey(), f.getValue().asLong()));
-                history.agreed(versions);
-                stamp(h.replicatedState().current());
-                stamp(h.replicatedState().previous());
+                history.recordCommitted(versions);
+                checkStamp(controller.replicatedState().current());
+                checkStamp(controller.replicatedState().previous());
             }
-            if (RaftView.leads(h)) {
-                Long term = led.get(h);
-                if (term == null || term != RaftView.term(h)) {
-                    led.put(h, RaftView.term(h));
-                    beginsToLead(h);
+            if (RaftView.isLeader(controller)) {
+                Long term = termLedByController.get(controller);
+                if (term == null || term != RaftView.term(controller)) {
+                    termLedByController.put(controller, RaftView.term(controller));
+                    checkNewLeader(controller);
                 }
             }
         }
-        mesh.wefts.forEach(this::weft);
+        mesh.sidecars.forEach(this::checkSidecar);
     }
 
     /** Two helms that have applied the same entries know the same. */
-    private void state(long index, String state, String member) {
-        String other = states.putIfAbsent(index, state);
+    private void checkState(long index, String state, String member) {
+        String other = stateByIndex.putIfAbsent(index, state);
         if (other != null && !other.equals(state)) {
-            throw new Broken("StatesMatch", member + " differs at " + index + ": " + state + " from " + other);
+            throw new InvariantViolation(
+                    "StatesMatch", member + " differs at " + index + ": " + state + " from " + other);
         }
     }
 
-    private void stamp(ReplicatedState.Version v) {
-        if (v.epoch() > 0) {
-            String s = RoutingConfiguration.stampOf(v.compressedDocument());
-            String other = stamps.putIfAbsent(v.epoch(), s);
-            if (other != null && !other.equals(s)) {
-                throw new Broken("AgreedStays", "two documents are agreed as " + v.epoch());
+    private void checkStamp(ReplicatedState.Version version) {
+        if (version.epoch() > 0) {
+            String stamp = RoutingConfiguration.stampOf(version.compressedDocument());
+            String other = stampByVersion.putIfAbsent(version.epoch(), stamp);
+            if (other != null && !other.equals(stamp)) {
+                throw new InvariantViolation("AgreedStays", "two documents are agreed as " + version.epoch());
             }
         }
     }
 
-    private void beginsToLead(ControllerNode h) {
-        leads(RaftView.term(h), RaftView.member(h));
-        if (RaftView.term(h) == highestTerm && h.replicatedState().current().epoch() < highestAcked) {
-            throw new Broken(
+    private void checkNewLeader(ControllerNode controller) {
+        recordLeader(RaftView.term(controller), RaftView.memberId(controller));
+        if (RaftView.term(controller) == highestTerm
+                && controller.replicatedState().current().epoch() < highestAcknowledged) {
+            throw new InvariantViolation(
                     "NobodyLeadsWithOldState",
-                    RaftView.member(h) + " leads term " + highestTerm + " with version "
-                            + h.replicatedState().current().epoch() + ", " + highestAcked + " was acknowledged");
+                    RaftView.memberId(controller) + " leads term " + highestTerm + " with version "
+                            + controller.replicatedState().current().epoch() + ", " + highestAcknowledged
+                            + " was acknowledged");
         }
     }
 
-    private void weft(String peer, DataPlaneNode w) {
-        long e = w.shadowCommit.epoch();
-        Long before = epochs.get(w);
-        if (before != null && before == e) {
+    private void checkSidecar(String peer, DataPlaneNode proxy) {
+        long version = proxy.shadowCommit.epoch();
+        Long previousVersion = versionBySidecar.get(proxy);
+        if (previousVersion != null && previousVersion == version) {
             return;
         }
-        if (before != null && e < before) {
-            throw new Broken("SidesNeverGoBack", peer + " goes from " + before + " to " + e);
+        if (previousVersion != null && version < previousVersion) {
+            throw new InvariantViolation("SidesNeverGoBack", peer + " goes from " + previousVersion + " to " + version);
         }
-        epochs.put(w, e);
-        if (e > 0 && !w.shadowCommit.realConfiguration().stamp.equals(stamps.get(e))) {
-            throw new Broken("SidesUseWhatIsAgreed", peer + " uses a version " + e + " that is not agreed");
+        versionBySidecar.put(proxy, version);
+        if (version > 0 && !proxy.shadowCommit.realConfiguration().stamp.equals(stampByVersion.get(version))) {
+            throw new InvariantViolation(
+                    "SidesUseWhatIsAgreed", peer + " uses a version " + version + " that is not agreed");
         }
     }
 }
--- a/src/test/java/bramblespool/model/ModelHunt.java
+++ b/src/test/java/bramblespool/model/ModelSearch.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Many schedules, in {@code mvn -Pmodel test}; from {@code -Dmodel.from}, as many as {@code -Dmodel.count} says. */
-class ModelHunt {
+class ModelSearch {
     @Test
-    void nothingBreaks() throws InterruptedException {
-        List<Hunt.Found> found = Hunt.hunt(
+    void noScheduleViolatesAnInvariant() throws InterruptedException {
+        List<ViolationSearch.FoundViolation> found = ViolationSearch.search(
                 Long.getLong("model.from", 1),
                 Integer.getInteger("model.count", 20_000),
                 Integer.getInteger("model.threads", 4),
@@ -17,14 +17,15 @@
                 null,
                 null);
         if (!found.isEmpty()) {
-            Hunt.Found f = found.get(0);
-            Schedule small = Shrink.shrink(Draw.schedule(f.seed()), f.broken().invariant);
+            ViolationSearch.FoundViolation first = found.get(0);
+            Schedule shrunk =
+                    ScheduleShrinker.shrink(ScheduleGenerator.schedule(first.seed()), first.violation().invariant);
             assertEquals(
                     List.of(),
                     found.stream()
-                            .map(x -> x.seed() + " " + x.broken().getMessage())
+                            .map(x -> x.seed() + " " + x.violation().getMessage())
                             .toList(),
-                    small::toString);
+                    shrunk::toString);
         }
     }
 }
--- a/src/test/java/bramblespool/model/ModelTest.java
+++ b/src/test/java/bramblespool/model/ModelTest.java
@@ -12,20 +12,21 @@
     private static final int SEEDS = 12;
 
     @ParameterizedTest
-    @EnumSource(Draw.Theme.class)
-    void allHoldsThroughADrawnSchedule(Draw.Theme theme) {
+    @EnumSource(ScheduleGenerator.Theme.class)
+    void invariantsHoldForGeneratedSchedules(ScheduleGenerator.Theme theme) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Schedule s = Draw.schedule(seed, theme);
-            assertEquals(null, Play.play(s), () -> "Schedule.parse(\"\"\"\n" + s + "\"\"\")");
+            Schedule schedule = ScheduleGenerator.schedule(seed, theme);
+            assertEquals(
+                    null, ScheduleRunner.runSchedule(schedule), () -> "Schedule.parse(\"\"\"\n" + schedule + "\"\"\")");
         }
     }
 
     @Test
-    void whatIsPrintedIsReadBack() {
+    void printedScheduleIsParsedBack() {
         for (long seed = 1; seed <= 60; seed++) {
-            Schedule s = Draw.schedule(seed);
-            assertEquals(s, Schedule.parse(s.toString()));
-            assertTrue(s.fits(), s.toString());
+            Schedule schedule = ScheduleGenerator.schedule(seed);
+            assertEquals(schedule, Schedule.parse(schedule.toString()));
+            assertTrue(schedule.isWithinBudget(), schedule.toString());
         }
     }
 }
--- a/src/test/java/bramblespool/model/Mutants.java
+++ b/src/test/java/bramblespool/model/Mutants.java
@@ -273,89 +273,91 @@
 
     /** {@code [--most 400] [--only part of a name]}. */
     public static void main(String[] args) throws Exception {
-        int most = 400;
-        String only = "";
+        int maxSeeds = 400;
+        String nameFilter = "";
         for (int i = 0; i + 1 < args.length; i += 2) {
             if (args[i].equals("--most")) {
-                most = Integer.parseInt(args[i + 1]);
+                maxSeeds = Integer.parseInt(args[i + 1]);
             } else {
-                only = args[i + 1];
+                nameFilter = args[i + 1];
             }
         }
-        for (Mutant m : ALL) {
-            for (Edit e : m.edits) {
+        for (Mutant mutant : ALL) {
+            for (Edit e : mutant.edits) {
                 if (!Files.readString(MAIN.resolve(e.file)).contains(e.text)) {
-                    System.out.println(m.name + ": " + e.file + " has no " + e.text);
+                    System.out.println(mutant.name + ": " + e.file + " has no " + e.text);
                 }
             }
         }
-        int missed = 0;
+        int missedCount = 0;
         System.out.println("| Mutant | Seen by | Schedules |\n| --- | --- | --- |");
         for (int i = 0; i < ALL.size(); i++) {
-            Mutant m = ALL.get(i);
-            if (m.name.contains(only)) {
-                String seen = play(m, OUT.resolve("m" + i), most);
-                missed += seen.contains("not seen") ? 1 : 0;
-                System.out.println("| " + m.name + " | " + seen + " |");
+            Mutant mutant = ALL.get(i);
+            if (mutant.name.contains(nameFilter)) {
+                String seen = runMutant(mutant, OUT.resolve("m" + i), maxSeeds);
+                missedCount += seen.contains("not seen") ? 1 : 0;
+                System.out.println("| " + mutant.name + " | " + seen + " |");
             }
         }
-        System.exit(missed == 0 ? 0 : 1);
+        System.exit(missedCount == 0 ? 0 : 1);
     }
 
-    private static String play(Mutant m, Path out, int most) throws Exception {
-        compile(m, out);
-        List<URL> path = new ArrayList<>();
-        path.add(out.resolve("classes").toUri().toURL());
+    private static String runMutant(Mutant mutant, Path directory, int maxSeeds) throws Exception {
+        compile(mutant, directory);
+        List<URL> classpath = new ArrayList<>();
+        classpath.add(directory.resolve("classes").toUri().toURL());
         for (String p : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
-            path.add(Path.of(p).toUri().toURL());
+            classpath.add(Path.of(p).toUri().toURL());
         }
         try (URLClassLoader loader =
-                new URLClassLoader(path.toArray(URL[]::new), ClassLoader.getPlatformClassLoader())) {
-            var first = loader.loadClass(Hunt.class.getName())
+                new URLClassLoader(classpath.toArray(URL[]::new), ClassLoader.getPlatformClassLoader())) {
+            var first = loader.loadClass(ViolationSearch.class.getName())
                     .getDeclaredMethod("first", String.class, long.class, long.class);
             first.setAccessible(true);
-            for (long from = 1; from <= most; ) {
-                String seen = (String) first.invoke(null, m.theme, from, (long) most);
-                if (seen == null) {
+            for (long from = 1; from <= maxSeeds; ) {
+                String violation = (String) first.invoke(null, mutant.theme, from, (long) maxSeeds);
+                if (violation == null) {
                     break;
                 }
-                long seed = Long.parseLong(seen.split(" ")[0]);
+                long seed = Long.parseLong(violation.split(" ")[0]);
                 // What the code without the mutant breaks as well does not count.
-                if (Play.play(Draw.schedule(seed, Draw.Theme.valueOf(m.theme))) == null) {
-                    return seen.split(" ")[1] + " | " + seed;
+                if (ScheduleRunner.runSchedule(
+                                ScheduleGenerator.schedule(seed, ScheduleGenerator.Theme.valueOf(mutant.theme)))
+                        == null) {
+                    return violation.split(" ")[1] + " | " + seed;
                 }
                 from = seed + 1;
             }
-            return "not seen | " + most;
+            return "not seen | " + maxSeeds;
         }
     }
 
-    private static void compile(Mutant m, Path out) throws IOException {
-        if (Files.exists(out)) {
-            try (var old = Files.walk(out)) {
+    private static void compile(Mutant mutant, Path directory) throws IOException {
+        if (Files.exists(directory)) {
+            try (var old = Files.walk(directory)) {
                 for (Path p : old.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(p);
                 }
             }
         }
-        Path classes = Files.createDirectories(out.resolve("classes"));
+        Path classes = Files.createDirectories(directory.resolve("classes"));
         List<String> args = new ArrayList<>(List.of(
                 "-nowarn", "-proc:none", "-d", classes.toString(), "-cp", System.getProperty("java.class.path")));
-        for (Edit e : m.edits) {
-            Path copy = out.resolve("src").resolve(e.file);
-            String known = copy.toString();
-            String source = Files.readString(args.contains(known) ? copy : MAIN.resolve(e.file));
-            if (!source.contains(e.text)) {
-                throw new IllegalStateException(m.name + ": " + e.file + " has no " + e.text);
+        for (Edit edit : mutant.edits) {
+            Path copy = directory.resolve("src").resolve(edit.file);
+            String copyName = copy.toString();
+            String source = Files.readString(args.contains(copyName) ? copy : MAIN.resolve(edit.file));
+            if (!source.contains(edit.text)) {
+                throw new IllegalStateException(mutant.name + ": " + edit.file + " has no " + edit.text);
             }
             Files.createDirectories(copy.getParent());
-            Files.writeString(copy, source.replace(e.text, e.instead));
-            if (!args.contains(known)) {
-                args.add(known);
+            Files.writeString(copy, source.replace(edit.text, edit.instead));
+            if (!args.contains(copyName)) {
+                args.add(copyName);
             }
         }
         if (ToolProvider.getSystemJavaCompiler().run(null, System.out, System.out, args.toArray(String[]::new)) != 0) {
-            throw new IllegalStateException(m.name + " does not compile");
+            throw new IllegalStateException(mutant.name + " does not compile");
         }
     }
 }
--- a/src/test/java/bramblespool/model/Door.java
+++ b/src/test/java/bramblespool/model/OperatorEndpoint.java
@@ -11,33 +11,33 @@
 import java.util.function.Consumer;
 
 /** A helm as its peers and operators reach it: what its process does with an order, without the HTTP around it. */
-final class Door implements PeerTransport.RequestHandler {
+final class OperatorEndpoint implements PeerTransport.RequestHandler {
     static final String KIND = "operator";
 
-    private final ControllerNode helm;
-    private final Play play;
+    private final ControllerNode controller;
+    private final ScheduleRunner runner;
 
-    Door(ControllerNode helm, Play play) {
-        this.helm = helm;
-        this.play = play;
+    OperatorEndpoint(ControllerNode helm, ScheduleRunner play) {
+        this.controller = helm;
+        this.runner = play;
     }
 
     @Override
     public void handleRequest(String kind, JsonNode m, Consumer<ObjectNode> answer) {
         if (!kind.equals(KIND)) {
-            helm.handleRequest(kind, m, answer);
+            controller.handleRequest(kind, m, answer);
             return;
         }
-        if (!RaftView.leads(helm)) {
-            String leader = RaftView.leaderControl(helm);
+        if (!RaftView.isLeader(controller)) {
+            String leader = RaftView.leaderControl(controller);
             answer.accept(leader == null ? status(503) : status(307).put("location", leader));
             return;
         }
         switch (m.path("do").asText()) {
             case "read" ->
-                helm.readConfiguration(v -> {
+                controller.readConfiguration(v -> {
                     if (v != null) {
-                        play.history.read(v.epoch(), m.path("began").asLong(), play.step());
+                        runner.history.recordRead(v.epoch(), m.path("began").asLong(), runner.logicalTime());
                     }
                     answer.accept(
                             v == null
@@ -48,9 +48,9 @@
             case "evacuate" -> {
                 String zone = m.path("zone").asText();
                 boolean on = m.path("on").asBoolean();
-                helm.evacuate(zone, on, ok -> {
+                controller.evacuate(zone, on, ok -> {
                     if (ok) {
-                        play.invariants.evacuationAcknowledged(zone, on);
+                        runner.invariants.onEvacuationAcknowledged(zone, on);
                     }
                     answer.accept(status(ok ? 200 : 503));
                 });
@@ -59,22 +59,24 @@
         }
     }
 
-    private void change(JsonNode m, Consumer<ObjectNode> answer) {
+    private void change(JsonNode request, Consumer<ObjectNode> answer) {
         OperatorRequest.ConfigurationChange change;
         try {
-            change = OperatorRequest.parseChange(false, m.path("doc").asText().getBytes(StandardCharsets.UTF_8));
+            change = OperatorRequest.parseChange(
+                    false, request.path("doc").asText().getBytes(StandardCharsets.UTF_8));
         } catch (RoutingConfiguration.InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
-        History.Change sent = play.operators.changes.get(m.path("name").asInt());
-        helm.submitChange(change, o -> {
-            if (o.status() == 200) {
-                play.history.taken(sent, play.step());
-                play.invariants.acknowledged(sent);
-            } else if (o.status() != 503) {
-                play.history.refused(sent, o.status(), m.path("began").asLong(), play.step());
+        History.Change sent = runner.operators.changes.get(request.path("name").asInt());
+        controller.submitChange(change, outcome -> {
+            if (outcome.status() == 200) {
+                runner.history.recordAcknowledged(sent, runner.logicalTime());
+                runner.invariants.onChangeAcknowledged(sent);
+            } else if (outcome.status() != 503) {
+                runner.history.recordRejected(
+                        sent, outcome.status(), request.path("began").asLong(), runner.logicalTime());
             }
-            answer.accept(status(o.status()));
+            answer.accept(status(outcome.status()));
         });
     }
 
--- a/src/test/java/bramblespool/model/RaftView.java
+++ b/src/test/java/bramblespool/model/RaftView.java
@@ -10,38 +10,38 @@
 final class RaftView {
     private RaftView() {}
 
-    static boolean leads(ControllerNode h) {
-        return h.raft.isLeader();
+    static boolean isLeader(ControllerNode controller) {
+        return controller.raft.isLeader();
     }
 
-    static long term(ControllerNode h) {
-        return h.raft.currentTerm();
+    static long term(ControllerNode controller) {
+        return controller.raft.currentTerm();
     }
 
-    static long applied(ControllerNode h) {
-        return h.raft.lastApplied();
+    static long applied(ControllerNode controller) {
+        return controller.raft.lastApplied();
     }
 
     /** Where a caller is sent on to, or null. */
-    static String leaderControl(ControllerNode h) {
-        return h.raft.leaderControlAddress();
+    static String leaderControl(ControllerNode controller) {
+        return controller.raft.leaderControlAddress();
     }
 
-    static List<String> voters(ControllerNode h) {
-        return h.raft.voters();
+    static List<String> voters(ControllerNode controller) {
+        return controller.raft.voters();
     }
 
-    static String member(ControllerNode h) {
-        return h.raft.localId();
+    static String memberId(ControllerNode controller) {
+        return controller.raft.localId();
     }
 
     /** Whether only a leader sends this kind of message. */
-    static boolean fromLeader(String kind) {
+    static boolean isSentByLeader(String kind) {
         return kind.equals("append") || kind.equals("part") || kind.equals("heartbeat");
     }
 
     /** The index that an answer says the answering member has on its disk, or 0. */
-    static long told(String kind, JsonNode request, JsonNode answer) {
+    static long acknowledgedIndex(String kind, JsonNode request, JsonNode answer) {
         if (!answer.path("ok").asBoolean() || answer.has("have")) {
             return 0;
         }
@@ -57,8 +57,8 @@
     }
 
     /** The state that a snapshot on a disk holds, without the digest before it. */
-    static String state(DurableStore.Snapshot s) {
-        return s.data().substring(s.data().indexOf('{'));
+    static String snapshotState(DurableStore.Snapshot snapshot) {
+        return snapshot.data().substring(snapshot.data().indexOf('{'));
     }
 
     static String addressOf(String member) {
--- a/src/test/java/bramblespool/model/Schedule.java
+++ b/src/test/java/bramblespool/model/Schedule.java
@@ -10,64 +10,76 @@
  * What happens to one mesh, as a value; all else follows from the seed. {@code losses}: the fault budget's machines;
  * {@code beyond}: more machines than that may be lost while their disks are kept.
  */
-record Schedule(long seed, int helms, int wefts, int losses, boolean beyond, List<Step> steps) {
+record Schedule(
+        long seed,
+        int controllers,
+        int sidecars,
+        int toleratedLosses,
+        boolean isBeyondBudget,
+        List<ScheduleStep> steps) {
     /** The time from the start of a mesh, or of a machine, until it is owed all, and how long the core is given to settle. */
-    static final long CATCH_UP = 4000;
+    static final long CATCH_UP_MS = 4000;
 
-    static final long QUIET = 3000;
-    static final long ACK = 5000;
-    static final long APPLY = 2500;
+    static final long QUIET_MS = 3000;
+    static final long ACKNOWLEDGEMENT_MS = 5000;
+    static final long APPLICATION_MS = 2500;
 
     Schedule {
-        steps = steps.stream().sorted(Comparator.comparingLong(Step::at)).toList();
+        steps = steps.stream()
+                .sorted(Comparator.comparingLong(ScheduleStep::atMs))
+                .toList();
     }
 
-    Schedule with(List<Step> other) {
-        return new Schedule(seed, helms, wefts, losses, beyond, other);
+    Schedule with(List<ScheduleStep> newSteps) {
+        return new Schedule(seed, controllers, sidecars, toleratedLosses, isBeyondBudget, newSteps);
     }
 
-    long ends() {
-        long end = CATCH_UP;
-        for (Step s : steps) {
-            end = Math.max(end, s.ends());
+    long endMs() {
+        long latestMs = CATCH_UP_MS;
+        for (ScheduleStep step : steps) {
+            latestMs = Math.max(latestMs, step.endMs());
         }
-        return end;
+        return latestMs;
     }
 
     /** Whether no more is lost at one time than the budget allows. */
-    boolean fits() {
-        for (Step s : steps) {
-            if (s.at() < CATCH_UP && s.trouble()) {
+    boolean isWithinBudget() {
+        for (ScheduleStep step : steps) {
+            if (step.atMs() < CATCH_UP_MS && step.isFault()) {
                 return false;
             }
-            if (s.losses(helms) > 0 && (!beyond || s.losesDisk()) && lostAt(s.at()) > losses) {
+            if (step.losses(controllers) > 0
+                    && (!isBeyondBudget || step.losesDisk())
+                    && machinesLostAt(step.atMs()) > toleratedLosses) {
                 return false;
             }
         }
         return true;
     }
 
-    /** A machine is lost until {@link #CATCH_UP} after it is back, or its successor has started. */
-    private int lostAt(long at) {
+    /** A machine is lost until {@link #CATCH_UP_MS} after it is back, or its successor has started. */
+    private int machinesLostAt(long atMs) {
         int lost = 0;
         Set<String> named = new HashSet<>();
-        for (Step s : steps) {
-            int n = s.losses(helms);
-            if (n == 0 || s.at() > at || s.ends() + CATCH_UP <= at) {
+        for (ScheduleStep step : steps) {
+            int lostMachines = step.losses(controllers);
+            if (lostMachines == 0 || step.atMs() > atMs || step.endMs() + CATCH_UP_MS <= atMs) {
                 continue;
             }
-            boolean number = n == 1 && Character.isDigit(s.who().charAt(0)) && s.kind() != Step.Kind.REPLACE;
-            if (!number || named.add(s.who())) {
-                lost += n < 0 ? losses : n;
+            boolean isNumbered = lostMachines == 1
+                    && Character.isDigit(step.target().charAt(0))
+                    && step.kind() != ScheduleStep.Kind.REPLACE;
+            if (!isNumbered || named.add(step.target())) {
+                lost += lostMachines < 0 ? toleratedLosses : lostMachines;
             }
         }
         return lost;
     }
 
     /** Whether the core has been untroubled for so long before a moment and stays so for that long after it. */
-    boolean calm(long from, long until) {
-        for (Step s : steps) {
-            if (s.trouble() && s.at() <= until && s.ends() + QUIET > from) {
+    boolean isQuiet(long fromMs, long untilMs) {
+        for (ScheduleStep step : steps) {
+            if (step.isFault() && step.atMs() <= untilMs && step.endMs() + QUIET_MS > fromMs) {
                 return false;
             }
         }
@@ -77,32 +89,32 @@
     /** As a test can take it. */
     @Override
     public String toString() {
-        StringBuilder b = new StringBuilder()
+        StringBuilder text = new StringBuilder()
                 .append(seed)
                 .append(' ')
-                .append(helms)
+                .append(controllers)
                 .append(' ')
-                .append(wefts)
+                .append(sidecars)
                 .append(' ')
-                .append(losses)
-                .append(beyond ? " beyond" : "");
-        steps.forEach(s -> b.append('\n').append(s));
-        return b.toString();
+                .append(toleratedLosses)
+                .append(isBeyondBudget ? " beyond" : "");
+        steps.forEach(s -> text.append('\n').append(s));
+        return text.toString();
     }
 
     static Schedule parse(String text) {
         String[] lines = text.strip().split("\n");
-        String[] p = lines[0].trim().split(" ");
-        List<Step> steps = new ArrayList<>();
+        String[] header = lines[0].trim().split(" ");
+        List<ScheduleStep> steps = new ArrayList<>();
         for (int i = 1; i < lines.length; i++) {
-            steps.add(Step.parse(lines[i]));
+            steps.add(ScheduleStep.parse(lines[i]));
         }
         return new Schedule(
-                Long.parseLong(p[0]),
-                Integer.parseInt(p[1]),
-                Integer.parseInt(p[2]),
-                Integer.parseInt(p[3]),
-                p.length > 4,
+                Long.parseLong(header[0]),
+                Integer.parseInt(header[1]),
+                Integer.parseInt(header[2]),
+                Integer.parseInt(header[3]),
+                header.length > 4,
                 steps);
     }
 }
--- a/src/test/java/bramblespool/model/Step.java
+++ b/src/test/java/bramblespool/model/ScheduleStep.java
@@ -5,9 +5,9 @@
  * for who led before it, {@code F} for some other helm that runs, {@code ?} for any; {@code ms}: how long; {@code n}: what
  * else the kind needs.
  */
-record Step(long at, Kind kind, String who, long ms, int n) {
+record ScheduleStep(long atMs, Kind kind, String target, long durationMs, int argument) {
     /** How long a helm that is told to end may take for it. */
-    static final long GRACE = 3000;
+    static final long GRACE_MS = 3000;
 
     enum Kind {
         /** An order sent first to who; n: its name; ms: by how much its number is above its base. */
@@ -59,27 +59,32 @@
         WEFT_KILLED,
         WEFT_CUT;
 
-        boolean order() {
+        boolean isOrder() {
             return ordinal() <= CHAIN.ordinal();
         }
     }
 
     @Override
     public String toString() {
-        return at + " " + kind + " " + who + " " + ms + " " + n;
+        return atMs + " " + kind + " " + target + " " + durationMs + " " + argument;
     }
 
-    static Step parse(String line) {
-        String[] p = line.trim().split(" ");
-        return new Step(Long.parseLong(p[0]), Kind.valueOf(p[1]), p[2], Long.parseLong(p[3]), Integer.parseInt(p[4]));
+    static ScheduleStep parse(String line) {
+        String[] fields = line.trim().split(" ");
+        return new ScheduleStep(
+                Long.parseLong(fields[0]),
+                Kind.valueOf(fields[1]),
+                fields[2],
+                Long.parseLong(fields[3]),
+                Integer.parseInt(fields[4]));
     }
 
-    Step with(long newAt, long newMs) {
-        return new Step(newAt, kind, who, newMs, n);
+    ScheduleStep with(long newAtMs, long newDurationMs) {
+        return new ScheduleStep(newAtMs, kind, target, newDurationMs, argument);
     }
 
     /** How many machines it makes lost, as the budget counts them; -1: that is not limited. */
-    int losses(int helms) {
+    int losses(int controllers) {
         return switch (kind) {
             case CUT,
                     ISOLATE,
@@ -94,8 +99,8 @@
                     HANGING_DISK,
                     FULL_DISK,
                     SLOW_LINK -> 1;
-            case SPLIT -> Math.min(Integer.bitCount(n), helms - Integer.bitCount(n));
-            case CLOSING -> n;
+            case SPLIT -> Math.min(Integer.bitCount(argument), controllers - Integer.bitCount(argument));
+            case CLOSING -> argument;
             case ALL_KILLED, ALL_POWER -> -1;
             default -> 0;
         };
@@ -106,12 +111,12 @@
     }
 
     /** Whether the core is unsettled by it, or operators cannot hear it. */
-    boolean trouble() {
-        return !kind.order() && kind != Kind.WEFT_CUT && kind != Kind.WEFT_KILLED;
+    boolean isFault() {
+        return !kind.isOrder() && kind != Kind.WEFT_CUT && kind != Kind.WEFT_KILLED;
     }
 
     /** Until when the core is troubled: one that is gone for good troubles it only as it goes. */
-    long ends() {
-        return kind == Kind.SPARE ? at : at + ms + (kind == Kind.LEAVE ? GRACE + 120 : 0);
+    long endMs() {
+        return kind == Kind.SPARE ? atMs : atMs + durationMs + (kind == Kind.LEAVE ? GRACE_MS + 120 : 0);
     }
 }
--- a/src/test/java/bramblespool/FormsTest.java
+++ b/src/test/java/bramblespool/state/DocumentFormatTest.java
@@ -1,4 +1,4 @@
-package bramblespool;
+package bramblespool.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -7,11 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.protocol.OperatorRequest;
-import bramblespool.sim.SimMesh;
-import bramblespool.state.CompressedDocument;
-import bramblespool.state.EventLog;
-import bramblespool.state.RoutingConfiguration;
-import bramblespool.state.Settings;
+import bramblespool.testing.SimulatedMesh;
 import com.google.gson.JsonObject;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
@@ -29,8 +25,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Settings, configurations, the catalogue of events, the layers. */
-class FormsTest {
-    private static final String GOOD = SimMesh.document(5, 0, "p");
+class DocumentFormatTest {
+    private static final String VALID_DOCUMENT = SimulatedMesh.document(5, 0, "p");
 
     @ParameterizedTest
     @CsvSource(
@@ -46,23 +42,23 @@
                 "\"epoch\":5|\"epoch\":5.5|whole number",
                 "\"rows\":[[\"r\"|\"rows\":[[\"r\",\"extra\"|one value for each column"
             })
-    void anInvalidConfigurationIsToldWhy(String from, String to, String fault) {
-        assertTrue(GOOD.contains(from));
-        RoutingConfiguration.InvalidConfigurationException e = assertThrows(
+    void invalidConfigurationIsRejectedWithReason(String from, String to, String fault) {
+        assertTrue(VALID_DOCUMENT.contains(from));
+        RoutingConfiguration.InvalidConfigurationException invalid = assertThrows(
                 RoutingConfiguration.InvalidConfigurationException.class,
-                () -> RoutingConfiguration.compile(GOOD.replace(from, to)));
-        assertTrue(e.getMessage().contains(fault), e.getMessage());
+                () -> RoutingConfiguration.compile(VALID_DOCUMENT.replace(from, to)));
+        assertTrue(invalid.getMessage().contains(fault), invalid.getMessage());
     }
 
     @Test
-    void everyFaultIsNamedAtOnceAndACutDocumentIsRefused() {
+    void allErrorsAreReportedTogetherAndTruncatedDocumentIsRejected() {
         RoutingConfiguration.InvalidConfigurationException e = assertThrows(
                 RoutingConfiguration.InvalidConfigurationException.class,
                 () -> RoutingConfiguration.compile(
-                        GOOD.replace("/p/", "p").replace("null,2,\"desk\"", "null,2,\"nobody\"")));
+                        VALID_DOCUMENT.replace("/p/", "p").replace("null,2,\"desk\"", "null,2,\"nobody\"")));
         assertTrue(e.getMessage().contains("slash") && e.getMessage().contains("nobody"), e.getMessage());
-        for (int cut = 1; cut < GOOD.strip().length(); cut += 17) {
-            String part = GOOD.substring(0, cut);
+        for (int cut = 1; cut < VALID_DOCUMENT.strip().length(); cut += 17) {
+            String part = VALID_DOCUMENT.substring(0, cut);
             assertThrows(
                     RoutingConfiguration.InvalidConfigurationException.class, () -> RoutingConfiguration.compile(part));
         }
@@ -84,74 +80,75 @@
                 "\"desk\"]]|\"desk\"],]",
                 "13.0|NaN"
             })
-    void whatIsNotQuiteJsonIsInvalid(String from, String to) {
-        assertTrue(GOOD.contains(from));
+    void lenientJsonIsRejected(String from, String to) {
+        assertTrue(VALID_DOCUMENT.contains(from));
         assertThrows(
                 RoutingConfiguration.InvalidConfigurationException.class,
-                () -> RoutingConfiguration.compile(GOOD.replace(from, to)));
+                () -> RoutingConfiguration.compile(VALID_DOCUMENT.replace(from, to)));
         assertThrows(
                 RoutingConfiguration.InvalidConfigurationException.class,
-                () -> OperatorRequest.parseChange(false, GOOD.replace(from, to).getBytes(StandardCharsets.UTF_8)));
+                () -> OperatorRequest.parseChange(
+                        false, VALID_DOCUMENT.replace(from, to).getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void aDocumentWithMoreBehindItOrWithBytesThatAreNoTextIsInvalid()
-            throws RoutingConfiguration.InvalidConfigurationException {
+    void trailingContentAndInvalidUtf8AreRejected() throws RoutingConfiguration.InvalidConfigurationException {
         assertThrows(
                 RoutingConfiguration.InvalidConfigurationException.class,
-                () -> RoutingConfiguration.compile(GOOD + "{}"));
-        byte[] bytes = GOOD.getBytes(StandardCharsets.UTF_8);
+                () -> RoutingConfiguration.compile(VALID_DOCUMENT + "{}"));
+        byte[] bytes = VALID_DOCUMENT.getBytes(StandardCharsets.UTF_8);
         assertEquals(
                 5,
                 OperatorRequest.parseChange(false, bytes)
                         .document()
                         .get("epoch")
                         .getAsLong());
-        bytes[GOOD.indexOf("x.example")] = (byte) 0xff;
+        bytes[VALID_DOCUMENT.indexOf("x.example")] = (byte) 0xff;
         assertThrows(
                 RoutingConfiguration.InvalidConfigurationException.class,
                 () -> OperatorRequest.parseChange(false, bytes));
     }
 
     @Test
-    void twoRoutesInOnePlaceAreInvalid() {
+    void duplicateRoutePrefixIsRejected() {
         String row = "[\"r\",\"x.example\",\"/p/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]";
-        assertTrue(GOOD.contains(row));
+        assertTrue(VALID_DOCUMENT.contains(row));
         RoutingConfiguration.InvalidConfigurationException e = assertThrows(
                 RoutingConfiguration.InvalidConfigurationException.class,
-                () -> RoutingConfiguration.compile(GOOD.replace(row, row + "," + row.replace("\"r\"", "\"q\""))));
+                () -> RoutingConfiguration.compile(
+                        VALID_DOCUMENT.replace(row, row + "," + row.replace("\"r\"", "\"q\""))));
         assertTrue(e.getMessage().contains("same place"), e.getMessage());
     }
 
     @Test
-    void theLongestPrefixOnTheExactPathWins() throws RoutingConfiguration.InvalidConfigurationException {
+    void longestPrefixOfExactPathWins() throws RoutingConfiguration.InvalidConfigurationException {
         String row = "[\"r\",\"x.example\",\"/p/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]";
-        RoutingConfiguration c = RoutingConfiguration.compile(
-                GOOD.replace(row, row + "," + row.replace("\"r\"", "\"q\"").replace("/p/", "/p/%2f/")));
-        assertEquals("q", c.route("X.example:80", "/p/%2f/1").name());
-        assertEquals("r", c.route("x.example", "/p/%2F/1").name());
-        assertNull(c.route("x.example", "/p"));
-        assertNull(c.route("y.example", "/p/1"));
+        RoutingConfiguration configuration = RoutingConfiguration.compile(VALID_DOCUMENT.replace(
+                row, row + "," + row.replace("\"r\"", "\"q\"").replace("/p/", "/p/%2f/")));
+        assertEquals("q", configuration.route("X.example:80", "/p/%2f/1").name());
+        assertEquals("r", configuration.route("x.example", "/p/%2F/1").name());
+        assertNull(configuration.route("x.example", "/p"));
+        assertNull(configuration.route("y.example", "/p/1"));
     }
 
     @Test
-    void anAmendmentKeepsWhatItDoesNotName() throws RoutingConfiguration.InvalidConfigurationException {
-        RoutingConfiguration c =
-                RoutingConfiguration.compile(GOOD.replace("\"limits\"", "\"ours\":{\"x\":1},\"limits\""));
+    void amendmentKeepsUnmentionedFields() throws RoutingConfiguration.InvalidConfigurationException {
+        RoutingConfiguration configuration =
+                RoutingConfiguration.compile(VALID_DOCUMENT.replace("\"limits\"", "\"ours\":{\"x\":1},\"limits\""));
         JsonObject change = RoutingConfiguration.parseDocument("""
                 {"epoch":7,"baseVersion":5,"upsert":{"routeTable":{"columns":["name","authority","pathPrefix","routeClass",
                 "deadline","goal","rank","target"],"rows":[["n","x.example","/n/","mutating","1s","1s",0,"desk"]]}},
                 "remove":{"routeTable":["r"]}}""");
-        RoutingConfiguration next =
-                RoutingConfiguration.compile(c.applyAmendment(change).toString());
-        assertEquals(7, next.epoch);
-        assertNull(next.route("x.example", "/p/1"));
-        assertEquals("n", next.route("x.example", "/n/1").name());
+        RoutingConfiguration amended = RoutingConfiguration.compile(
+                configuration.applyAmendment(change).toString());
+        assertEquals(7, amended.epoch);
+        assertNull(amended.route("x.example", "/p/1"));
+        assertEquals("n", amended.route("x.example", "/n/1").name());
         assertTrue(
-                CompressedDocument.decompress(next.compressedDocument).contains("\"ours\":{\"x\":1}"),
+                CompressedDocument.decompress(amended.compressedDocument).contains("\"ours\":{\"x\":1}"),
                 "unknown fields are kept");
-        assertNotEquals(c.difference(null), next.difference(c));
-        assertTrue(next.difference(c).startsWith("+1 ~0 -1 "));
+        assertNotEquals(configuration.difference(null), amended.difference(configuration));
+        assertTrue(amended.difference(configuration).startsWith("+1 ~0 -1 "));
     }
 
     @ParameterizedTest
@@ -166,13 +163,16 @@
                 "[limits]||limits: section is missing",
                 "node = \"weft-1\"|node = |is no TOML"
             })
-    void settingsThatAreNotFitNameFileAndField(String from, String to, String fault) {
-        String good = toml();
+    void invalidSettingsNameFileAndField(String from, String to, String fault) {
+        String good = sidecarToml();
         assertTrue(good.contains(from), good);
-        Settings.InvalidSettingsException e = assertThrows(
+        Settings.InvalidSettingsException unfit = assertThrows(
                 Settings.InvalidSettingsException.class,
                 () -> Settings.parse(good.replace(from, to == null ? "" : to), "weft.toml"));
-        assertTrue(e.getMessage().startsWith("weft.toml: ") && e.getMessage().contains(fault), e.getMessage());
+        assertTrue(
+                unfit.getMessage().startsWith("weft.toml: ")
+                        && unfit.getMessage().contains(fault),
+                unfit.getMessage());
     }
 
     @ParameterizedTest
@@ -187,8 +187,9 @@
                 "entry = \"virtual_ip\"|entry = \"door\"|entry: must be one of static, virtual_ip, not 'door'",
                 "portRange = [7000, 7010]|portRange = [7000, 7000]|portRange: must leave two ports"
             })
-    void edgeSettingsThatAreNotFitNameFileAndField(String from, String to, String fault) throws Exception {
-        String good = toml().replace("sidecar", "edge")
+    void invalidEdgeSettingsNameFileAndField(String from, String to, String fault) throws Exception {
+        String good = sidecarToml()
+                .replace("sidecar", "edge")
                 .replace(
                         "appAddr = \"10.0.1.1:9000\"\ntarget = \"desk\"",
                         "deployment = \"api\"\ndiscovery = \"platform\"\nentry = \"virtual_ip\"\n[platform]\naddress = \"10.9.9.9:80\"")
@@ -197,15 +198,18 @@
         Settings fit = Settings.parse(good, "hem.toml");
         assertEquals("10.0.1.1:8004", fit.outboundAddress());
         assertEquals("10.0.1.1:7001", fit.inboundAddress(), "hems call each other on the second port");
-        Settings.InvalidSettingsException e = assertThrows(
+        Settings.InvalidSettingsException unfit = assertThrows(
                 Settings.InvalidSettingsException.class,
                 () -> Settings.parse(good.replace(from, to == null ? "" : to), "hem.toml"));
-        assertTrue(e.getMessage().startsWith("hem.toml: ") && e.getMessage().contains(fault), e.getMessage());
+        assertTrue(
+                unfit.getMessage().startsWith("hem.toml: ")
+                        && unfit.getMessage().contains(fault),
+                unfit.getMessage());
     }
 
     @Test
-    void aPackedDocumentComesBackAndAGarbledOneIsRefused() throws Exception {
-        String document = SimMesh.document(5, 0, "p\u017eilina").repeat(200);
+    void compressedDocumentRoundTripsAndCorruptOneIsRejected() throws Exception {
+        String document = SimulatedMesh.document(5, 0, "p\u017eilina").repeat(200);
         String packed = CompressedDocument.compress(document);
         assertTrue(packed.length() < document.length() / 4);
         assertEquals(document, CompressedDocument.decompress(packed));
@@ -217,7 +221,7 @@
                 () -> CompressedDocument.decompress("no such thing!"));
     }
 
-    private static String toml() {
+    private static String sidecarToml() {
         return """
                 node = "weft-1"
                 machineClass = "sidecar"
@@ -235,30 +239,30 @@
                 ready = "10.0.1.1:8003"
                 [limits]
                 memoryMb = 0
-                """ + SimMesh.BOUNDS;
+                """ + SimulatedMesh.BOUNDS;
     }
 
     @Test
-    void theCatalogueHoldsExactlyTheEventsOfTheCode() throws Exception {
+    void eventCatalogueMatchesCode() throws Exception {
         List<String> code = new ArrayList<>();
-        for (EventLog.Event e : EventLog.Event.values()) {
-            code.add("B" + e.number + " " + e.name() + " " + e.level);
+        for (EventLog.Event event : EventLog.Event.values()) {
+            code.add("B" + event.number + " " + event.name() + " " + event.level);
         }
         assertEquals(
                 code.size(),
                 new TreeSet<>(code.stream().map(c -> c.split(" ")[0]).toList()).size(),
                 "numbers differ");
         List<String> docs = new ArrayList<>();
-        Matcher m = Pattern.compile("^\\| (B\\d+) \\| (\\w+) \\| (\\w+) \\|", Pattern.MULTILINE)
+        Matcher matcher = Pattern.compile("^\\| (B\\d+) \\| (\\w+) \\| (\\w+) \\|", Pattern.MULTILINE)
                 .matcher(Files.readString(Path.of("docs/log-events.md")));
-        while (m.find()) {
-            docs.add(m.group(1) + " " + m.group(2) + " " + m.group(3));
+        while (matcher.find()) {
+            docs.add(matcher.group(1) + " " + matcher.group(2) + " " + matcher.group(3));
         }
         assertEquals(new TreeSet<>(code), new TreeSet<>(docs));
     }
 
     @Test
-    void dependenciesGoOnlyDownwards() {
+    void dependenciesGoDownwardsOnly() {
         Architectures.layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("cli")
