--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -7,6 +7,7 @@
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterResult;
 import bramblespool.coordination.singleton.SingletonRoles;
 import bramblespool.coordination.singleton.UsageReporter;
 import bramblespool.coordination.tenancy.AdmissionClient;
@@ -426,10 +427,12 @@
                 request.path("instead").isTextual() ? request.path("instead").asText() : null,
                 Math.max(1, request.path("within").asLong() * 4 / 5),
                 result -> {
-                    switch (result.outcome()) {
-                        case CHOSEN -> response.put("verdict", "go");
-                        case CONFLICT -> response.put("verdict", "held").put("stands", result.value());
-                        default -> response.put("verdict", "none");
+                    if (result instanceof RegisterResult.Chosen) {
+                        response.put("verdict", "go");
+                    } else if (result instanceof RegisterResult.Conflict conflict) {
+                        response.put("verdict", "held").put("stands", conflict.currentValue());
+                    } else {
+                        response.put("verdict", "none");
                     }
                     callback.accept(response);
                 });
--- a/src/main/java/bramblespool/coordination/register/RegisterProposer.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterProposer.java
@@ -31,17 +31,6 @@
  * and under the voters it knows to be in force.
  */
 public final class RegisterProposer {
-    /** How a round ended: the value is ours; another one stands; or nobody can tell, and it counts as not ours. */
-    public enum Outcome {
-        CHOSEN,
-        CONFLICT,
-        UNKNOWN
-    }
-
-    public record Result(Outcome outcome, String value) {
-        private static final Result UNKNOWN = new Result(Outcome.UNKNOWN, null);
-    }
-
     /** Rounds that one proposal may take, where others propose at the same time. */
     private static final int MAX_ROUNDS = 6;
     /** A register's life in parts, for the removal of old words from the disk. */
@@ -201,17 +190,17 @@
      * asks knows to have been given up for good. Answers once, in the time given.
      */
     public void compareAndSet(
-            String id, String value, String expectedValue, long timeoutMs, Consumer<Result> callback) {
+            String id, String value, String expectedValue, long timeoutMs, Consumer<RegisterResult> callback) {
         new Proposal(id, value, expectedValue, false, timeoutMs, callback).begin();
     }
 
     /** Agrees on a value for good: where one stands already that one, whosever it is. */
-    public void setIfAbsent(String id, String value, long timeoutMs, Consumer<Result> callback) {
+    public void setIfAbsent(String id, String value, long timeoutMs, Consumer<RegisterResult> callback) {
         new Proposal(id, value, null, true, timeoutMs, callback).begin();
     }
 
-    /** What a majority holds: a value that is then chosen, or null where none can have been chosen before. */
-    public void read(String id, long timeoutMs, Consumer<Result> callback) {
+    /** What a majority holds: a value that is then chosen, or empty where none can have been chosen before. */
+    public void read(String id, long timeoutMs, Consumer<RegisterResult> callback) {
         new Proposal(id, null, null, true, timeoutMs, callback).prepare();
     }
 
@@ -222,7 +211,7 @@
         /** Whether a value that stands is as good as the own one. */
         private final boolean acceptsAnyValue;
 
-        private final Consumer<Result> callback;
+        private final Consumer<RegisterResult> callback;
         private long number;
         private int attempts;
         private int currentPhase;
@@ -234,21 +223,21 @@
                 String expectedValue,
                 boolean acceptsAnyValue,
                 long timeoutMs,
-                Consumer<Result> callback) {
+                Consumer<RegisterResult> callback) {
             this.id = id;
             this.value = value;
             this.expectedValue = expectedValue;
             this.acceptsAnyValue = acceptsAnyValue;
             this.callback = callback;
-            clock.schedule(timeoutMs, () -> finish(Result.UNKNOWN));
+            clock.schedule(timeoutMs, () -> finish(RegisterResult.UNKNOWN));
         }
 
-        private void finish(Result result) {
+        private void finish(RegisterResult result) {
             if (isFinished) {
                 return;
             }
             isFinished = true;
-            if (result.outcome == Outcome.UNKNOWN) {
+            if (result instanceof RegisterResult.Unknown) {
                 unknownCount++;
             }
             callback.accept(result);
@@ -262,13 +251,13 @@
             } else if (state == null && maySkipPrepare(id)) {
                 accept(new ProposalNumber(0, replicatedState.votersChangedIndex(), self), value);
             } else if (state != null && value.equals(state.value()) && chosenRegisters.contains(id)) {
-                finish(new Result(Outcome.CHOSEN, value));
+                finish(new RegisterResult.Chosen(value));
             } else if (state != null
                     && state.value() != null
                     && !state.value().equals(value)
                     && !state.value().equals(expectedValue)) {
                 // It may not have been chosen; whoever asks is only told not to go on.
-                finish(new Result(Outcome.CONFLICT, state.value()));
+                finish(new RegisterResult.Conflict(state.value()));
             } else {
                 prepare();
             }
@@ -280,7 +269,7 @@
                 return;
             }
             if (++attempts >= MAX_ROUNDS) {
-                finish(Result.UNKNOWN);
+                finish(RegisterResult.UNKNOWN);
                 return;
             }
             clock.schedule((long) (batchDelayMs * (1 + clock.random() * (2 << attempts))), () -> {
@@ -337,15 +326,15 @@
                 retry(proposalNumber.number());
             } else if (hasConflict) {
                 // Only where one copy has outlived the register's life and another has not: nobody may go on.
-                finish(Result.UNKNOWN);
+                finish(RegisterResult.UNKNOWN);
             } else if (acceptedValue == null && value == null) {
-                finish(new Result(Outcome.CHOSEN, null));
+                finish(RegisterResult.EMPTY);
             } else if (acceptsAnyValue && acceptedValue != null) {
                 accept(proposalNumber, acceptedValue);
             } else if (acceptedValue == null || acceptedValue.equals(value) || acceptedValue.equals(expectedValue)) {
                 accept(proposalNumber, value);
             } else {
-                finish(new Result(Outcome.CONFLICT, acceptedValue));
+                finish(new RegisterResult.Conflict(acceptedValue));
             }
         }
 
@@ -367,7 +356,7 @@
                             && proposalNumber.equals(acceptor.get(id).acceptedProposal())) {
                         chosenRegisters.add(id);
                     }
-                    finish(new Result(Outcome.CHOSEN, proposedValue));
+                    finish(new RegisterResult.Chosen(proposedValue));
                 } else if (votes.cannotReachQuorum()) {
                     currentPhase++;
                     retry(highestSeenNumber[0]);
@@ -404,7 +393,7 @@
         private void sendToAll(
                 boolean isPrepare, ProposalNumber proposalNumber, String proposedValue, ReplyHandler replyHandler) {
             if (replicatedState.voterSinceIndexes().isEmpty()) {
-                finish(Result.UNKNOWN);
+                finish(RegisterResult.UNKNOWN);
                 return;
             }
             for (String voter : List.copyOf(replicatedState.voterSinceIndexes().keySet())) {
--- a/src/main/java/bramblespool/coordination/singleton/UsageReporter.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageReporter.java
@@ -3,6 +3,7 @@
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterResult;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
@@ -255,13 +256,13 @@
         }
         isBusy = true;
         registerProposer.read(REGISTER_PREFIX + window, callTimeoutMs * 4, result -> {
-            if (result.outcome() == RegisterProposer.Outcome.UNKNOWN) {
-                backOff("no majority");
-            } else if (result.value() != null) {
+            if (result instanceof RegisterResult.Chosen chosen) {
                 // Somebody has won this act before; what it says is settled.
-                sendReport(window, result.value());
-            } else {
+                sendReport(window, chosen.value());
+            } else if (result instanceof RegisterResult.Empty) {
                 gatherUsage(window, elapsedMs);
+            } else {
+                backOff("no majority");
             }
         });
     }
@@ -353,8 +354,8 @@
         ObjectNode totalsNode = report.putObject("tallies");
         totals.forEach(totalsNode::put);
         registerProposer.setIfAbsent(REGISTER_PREFIX + window, report.toString(), callTimeoutMs * 4, result -> {
-            if (result.outcome() == RegisterProposer.Outcome.CHOSEN) {
-                sendReport(window, result.value());
+            if (result instanceof RegisterResult.Chosen chosen) {
+                sendReport(window, chosen.value());
             } else {
                 backOff("no majority");
             }
--- a/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
+++ b/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
@@ -1,6 +1,7 @@
 package bramblespool.coordination.tenancy;
 
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterResult;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
@@ -278,11 +279,14 @@
         }
         String registerId = registerId(shard);
         registerProposer.read(registerId, leaseMs, result -> {
-            ShardOwner owner = ShardOwner.decode(result.value());
-            if (result.outcome() == RegisterProposer.Outcome.UNKNOWN) {
+            if (result instanceof RegisterResult.Unknown) {
                 acquiringShards.remove(shard);
-            } else if (owner == null) {
-                takeOver(shard, null, result.value());
+                return;
+            }
+            String currentValue = result instanceof RegisterResult.Chosen chosen ? chosen.value() : null;
+            ShardOwner owner = ShardOwner.decode(currentValue);
+            if (owner == null) {
+                takeOver(shard, null, currentValue);
             } else if (owner.peer.equals(peer)) {
                 // An earlier life's, or one of this process that has run out: that it is over nobody knows better.
                 takeOver(shard, owner, owner.encoded);
@@ -328,7 +332,7 @@
                 + (previousOwner == null ? clock.wallTimeMs() : previousOwner.fencingToken + 1));
         registerProposer.compareAndSet(registerId(shard), newOwner.encoded, expectedValue, leaseMs, result -> {
             acquiringShards.remove(shard);
-            if (result.outcome() == RegisterProposer.Outcome.CHOSEN && newOwner.leaseId.equals(leaseId)) {
+            if (result instanceof RegisterResult.Chosen && newOwner.leaseId.equals(leaseId)) {
                 owners.put(shard, newOwner);
                 if (previousOwner == null
                         || !previousOwner.peer.equals(peer)
--- a/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
+++ b/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.controller.ControllerNode;
-import bramblespool.coordination.register.RegisterProposer.Outcome;
+import bramblespool.coordination.register.RegisterResult;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import java.util.ArrayList;
@@ -22,6 +22,19 @@
 
 /** The registers under losses: histories are checked for linearizability, and that what was claimed is never lost. */
 class RegisterLinearizabilityTest {
+    private enum Outcome {
+        CHOSEN,
+        CONFLICT,
+        UNKNOWN;
+
+        static Outcome of(RegisterResult result) {
+            if (result instanceof RegisterResult.Chosen) {
+                return CHOSEN;
+            }
+            return result instanceof RegisterResult.Conflict ? CONFLICT : UNKNOWN;
+        }
+    }
+
     /** One change as its caller saw it. An unsure one may have taken effect at any time from its beginning on, or never. */
     private static final class Operation {
         final String value;
@@ -128,7 +141,7 @@
         histories.computeIfAbsent(id, i -> new ArrayList<>()).add(operation);
         controller.registerProposer.compareAndSet(id, operation.value, replaces, 400, result -> {
             operation.endedMs = mesh.simulator.nowMs();
-            operation.outcome = result.outcome();
+            operation.outcome = Outcome.of(result);
             onDone.accept(operation);
         });
     }
@@ -215,7 +228,7 @@
         Outcome[] outcome = new Outcome[1];
         // Whoever lives may be asked.
         ControllerNode at = mesh.controllers.values().iterator().next();
-        at.registerProposer.compareAndSet(id, value, replaces, 1500, r -> outcome[0] = r.outcome());
+        at.registerProposer.compareAndSet(id, value, replaces, 1500, r -> outcome[0] = Outcome.of(r));
         for (int i = 0; i < 100 && outcome[0] == null; i++) {
             mesh.simulator.run(20);
         }
@@ -285,7 +298,7 @@
                     "a",
                     null,
                     400,
-                    r -> isWon[0] = r.outcome() == Outcome.CHOSEN);
+                    r -> isWon[0] = r instanceof RegisterResult.Chosen);
             mesh.simulator.run(60);
             assertTrue(isWon[0]);
             minMessages[0] = Math.min(minMessages[0], mesh.simulator.messageCount - messagesBefore);
