--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -3,6 +3,7 @@
 import bramblespool.coordination.configuration.ShadowCommitCoordinator;
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.RegistryReader;
+import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.membership.EndpointDirectory;
@@ -158,7 +159,7 @@
                         return ControllerNode.this.isInTouchWithLeader();
                     }
                 });
-        gossip.registerOwnKey(EndpointDirectory.CONTROLLER_KEY_PREFIX + settings.node(), this::publishSelf);
+        gossip.registerOwnKey(GossipKeys.CONTROLLER_KEY_PREFIX + settings.node(), this::publishSelf);
         gossip.addListener(this::onGossipEntry);
         this.hasFreshStore =
                 durableStore.load() == null && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
@@ -462,7 +463,7 @@
     private List<RegistryReader.Gateway> gatewayMembers() {
         List<RegistryReader.Gateway> gateways = new ArrayList<>();
         for (String node : members) {
-            GossipStore.GossipEntry entry = gossip.get(EndpointDirectory.PROXY_KEY_PREFIX + node);
+            GossipStore.GossipEntry entry = gossip.get(GossipKeys.PROXY_KEY_PREFIX + node);
             if (entry == null || entry.body().path("gone").asBoolean()) {
                 continue;
             }
@@ -502,8 +503,8 @@
     }
 
     private void onGossipEntry(GossipStore.GossipEntry entry) {
-        if (entry.key().startsWith(EndpointDirectory.SESSION_KEY_PREFIX)) {
-            String node = entry.key().substring(EndpointDirectory.SESSION_KEY_PREFIX.length());
+        if (entry.key().startsWith(GossipKeys.SESSION_KEY_PREFIX)) {
+            String node = entry.key().substring(GossipKeys.SESSION_KEY_PREFIX.length());
             if (entry.body().path("open").asBoolean()) {
                 members.add(node);
             } else {
@@ -538,7 +539,7 @@
         long incarnation = request.path("life").asLong();
         long sessionNumber = request.path("n").asLong();
         ObjectNode response = JsonNodeFactory.instance.objectNode();
-        GossipStore.GossipEntry knownEntry = gossip.get(EndpointDirectory.SESSION_KEY_PREFIX + node);
+        GossipStore.GossipEntry knownEntry = gossip.get(GossipKeys.SESSION_KEY_PREFIX + node);
         Session session = sessions.get(node);
         boolean isRenewal = session != null
                 && session.isOpen
@@ -587,7 +588,7 @@
 
     private void publishSession(String node, Session session) {
         gossip.publish(
-                EndpointDirectory.SESSION_KEY_PREFIX + node,
+                GossipKeys.SESSION_KEY_PREFIX + node,
                 session.incarnation,
                 session.sessionNumber * 2 + (session.isOpen ? 0 : 1),
                 JsonNodeFactory.instance
@@ -628,7 +629,7 @@
         }
         Map<String, Set<String>> proxiesByController = new HashMap<>();
         for (String proxy : proxies) {
-            GossipStore.GossipEntry entry = gossip.get(EndpointDirectory.SESSION_KEY_PREFIX + proxy);
+            GossipStore.GossipEntry entry = gossip.get(GossipKeys.SESSION_KEY_PREFIX + proxy);
             if (entry != null) {
                 proxiesByController
                         .computeIfAbsent(entry.body().path("helm").asText(), k -> new LinkedHashSet<>())
@@ -766,7 +767,7 @@
     private void publish() {
         if (replicatedState.current().epoch() > 0) {
             gossip.publish(
-                    EndpointDirectory.CONFIGURATION_KEY,
+                    GossipKeys.CONFIGURATION_KEY,
                     replicatedState.current().epoch(),
                     replicatedState.phase().ordinal(),
                     JsonNodeFactory.instance
@@ -784,7 +785,7 @@
             if (publishedEvacuations.getOrDefault(zone, 0L) < evacuation.index()) {
                 publishedEvacuations.put(zone, evacuation.index());
                 gossip.publish(
-                        EndpointDirectory.EVACUATION_KEY_PREFIX + zone,
+                        GossipKeys.EVACUATION_KEY_PREFIX + zone,
                         evacuation.index(),
                         0,
                         JsonNodeFactory.instance.objectNode().put("on", evacuation.isEvacuated()));
@@ -794,12 +795,12 @@
 
     /** The cell of a side that has not confirmed may be cut off: the leader tells such a side itself. */
     private void notifyUnconfirmed() {
-        GossipStore.GossipEntry configurationEntry = gossip.get(EndpointDirectory.CONFIGURATION_KEY);
+        GossipStore.GossipEntry configurationEntry = gossip.get(GossipKeys.CONFIGURATION_KEY);
         if (!raft.isLeader() || configurationEntry == null) {
             return;
         }
         for (String node : commitCoordinator.unconfirmed()) {
-            GossipStore.GossipEntry sessionEntry = gossip.get(EndpointDirectory.SESSION_KEY_PREFIX + node);
+            GossipStore.GossipEntry sessionEntry = gossip.get(GossipKeys.SESSION_KEY_PREFIX + node);
             if (sessionEntry != null && members.contains(node)) {
                 gossip.send(sessionEntry.body().path("weft").asText(), List.of(configurationEntry));
             }
@@ -940,8 +941,8 @@
         ObjectNode overLimit = status.putObject("overLimit");
         rateLimiter.deniedCounts().forEach(overLimit::put);
         ObjectNode proxies = status.putObject("sides");
-        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(EndpointDirectory.PROXY_KEY_PREFIX)) {
-            String node = entry.key().substring(EndpointDirectory.PROXY_KEY_PREFIX.length());
+        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(GossipKeys.PROXY_KEY_PREFIX)) {
+            String node = entry.key().substring(GossipKeys.PROXY_KEY_PREFIX.length());
             ObjectNode proxy = entry.body().deepCopy();
             proxies.set(node, proxy.put("member", members.contains(node)));
         }
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -4,6 +4,7 @@
 import bramblespool.coordination.configuration.ShadowCommitParticipant;
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.AssignedEndpoints;
+import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.membership.ControllerSession;
 import bramblespool.coordination.membership.EndpointDirectory;
@@ -172,7 +173,7 @@
                 transport,
                 () -> EndpointDirectory.voterAddresses(gossip, this.settings),
                 bounds.quietPeriodMs());
-        gossip.registerOwnKey(EndpointDirectory.PROXY_KEY_PREFIX + settings.node(), this::publishOwnEntry);
+        gossip.registerOwnKey(GossipKeys.PROXY_KEY_PREFIX + settings.node(), this::publishOwnEntry);
         gossip.addListener(this::onGossipUpdate);
         shadowCommit.onChange(this::onConfigurationChange);
     }
@@ -245,7 +246,7 @@
     private void onGossipUpdate(GossipStore.GossipEntry entry) {
         endpointDirectory.onUpdate(entry);
         retryBudget.setProxyCount(endpointDirectory.proxyCount());
-        if (entry.key().equals(EndpointDirectory.EVACUATION_KEY_PREFIX + settings.zone())) {
+        if (entry.key().equals(GossipKeys.EVACUATION_KEY_PREFIX + settings.zone())) {
             log.log(
                     Event.ZONE_EVACUATION_CHANGED,
                     "zone",
@@ -253,7 +254,7 @@
                     "evacuated",
                     entry.body().path("on").asBoolean());
             admissions.setEvacuated(entry.body().path("on").asBoolean());
-        } else if (entry.key().equals(EndpointDirectory.CONFIGURATION_KEY)) {
+        } else if (entry.key().equals(GossipKeys.CONFIGURATION_KEY)) {
             catchUp();
         }
     }
@@ -326,7 +327,7 @@
 
     /** The number of the newest version that the news tells of. */
     private long newestEpoch() {
-        GossipStore.GossipEntry configurationEntry = gossip.get(EndpointDirectory.CONFIGURATION_KEY);
+        GossipStore.GossipEntry configurationEntry = gossip.get(GossipKeys.CONFIGURATION_KEY);
         return configurationEntry == null
                 ? 0
                 : configurationEntry.body().path("epoch").asLong();
@@ -334,7 +335,7 @@
 
     /** Compares the version in force here with the one decided, as the news tells it, and acts on the difference. */
     private void catchUp() {
-        GossipStore.GossipEntry configurationEntry = gossip.get(EndpointDirectory.CONFIGURATION_KEY);
+        GossipStore.GossipEntry configurationEntry = gossip.get(GossipKeys.CONFIGURATION_KEY);
         if (configurationEntry == null) {
             return;
         }
--- a/src/main/java/bramblespool/coordination/membership/ControllerSession.java
+++ b/src/main/java/bramblespool/coordination/membership/ControllerSession.java
@@ -2,6 +2,7 @@
 
 import bramblespool.coordination.configuration.ConfigurationFreshness;
 import bramblespool.coordination.configuration.TermGuard;
+import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.singleton.ClusterClock;
@@ -126,7 +127,7 @@
     }
 
     private String localController() {
-        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(EndpointDirectory.CONTROLLER_KEY_PREFIX)) {
+        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(GossipKeys.CONTROLLER_KEY_PREFIX)) {
             if (!entry.body().path("gone").asBoolean()
                     && entry.body().path("zone").asText().equals(settings.get().zone())) {
                 return entry.body().path("peer").asText();
--- a/src/main/java/bramblespool/coordination/membership/EndpointDirectory.java
+++ b/src/main/java/bramblespool/coordination/membership/EndpointDirectory.java
@@ -1,5 +1,6 @@
 package bramblespool.coordination.membership;
 
+import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
@@ -97,21 +98,10 @@
         this.suspicionMs = suspicionMs;
     }
 
-    /** Key of a data plane daemon's own item, weft or hem. */
-    public static final String PROXY_KEY_PREFIX = "weft/";
-
-    public static final String SESSION_KEY_PREFIX = "session/";
-    public static final String CONTROLLER_KEY_PREFIX = "helm/";
-    public static final String EVACUATION_KEY_PREFIX = "evac/";
-    /** The news of which windows of usage have been reported. */
-    public static final String REPORTED_USAGE_KEY = "usage/reported";
-
-    public static final String CONFIGURATION_KEY = "order";
-
     /** The peer addresses of the helms that the news knows, and of the seeds. */
     public static Set<String> controllerAddresses(GossipStore gossip, Settings settings) {
         Set<String> addresses = new LinkedHashSet<>();
-        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(CONTROLLER_KEY_PREFIX)) {
+        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(GossipKeys.CONTROLLER_KEY_PREFIX)) {
             if (!entry.body().path("gone").asBoolean()) {
                 addresses.add(entry.body().path("peer").asText());
             }
@@ -123,7 +113,7 @@
     /** The helms that say they are voters; all that are known where none does. */
     public static List<String> voterAddresses(GossipStore gossip, Settings settings) {
         List<String> addresses = new ArrayList<>();
-        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(CONTROLLER_KEY_PREFIX)) {
+        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(GossipKeys.CONTROLLER_KEY_PREFIX)) {
             if (!entry.body().path("gone").asBoolean()
                     && entry.body().path("voter").asBoolean()) {
                 addresses.add(entry.body().path("peer").asText());
@@ -133,16 +123,16 @@
     }
 
     public void onUpdate(GossipStore.GossipEntry entry) {
-        if (entry.key().startsWith(PROXY_KEY_PREFIX)) {
-            updateProxy(proxy(entry.key().substring(PROXY_KEY_PREFIX.length())), entry.body());
-        } else if (entry.key().startsWith(SESSION_KEY_PREFIX)) {
-            Proxy proxy = proxy(entry.key().substring(SESSION_KEY_PREFIX.length()));
+        if (entry.key().startsWith(GossipKeys.PROXY_KEY_PREFIX)) {
+            updateProxy(proxy(entry.key().substring(GossipKeys.PROXY_KEY_PREFIX.length())), entry.body());
+        } else if (entry.key().startsWith(GossipKeys.SESSION_KEY_PREFIX)) {
+            Proxy proxy = proxy(entry.key().substring(GossipKeys.SESSION_KEY_PREFIX.length()));
             proxy.hasNoSession = !entry.body().path("open").asBoolean();
             if (!proxy.hasNoSession) {
                 proxy.suspectedUntilMs = 0;
             }
-        } else if (entry.key().startsWith(EVACUATION_KEY_PREFIX)) {
-            String zone = entry.key().substring(EVACUATION_KEY_PREFIX.length());
+        } else if (entry.key().startsWith(GossipKeys.EVACUATION_KEY_PREFIX)) {
+            String zone = entry.key().substring(GossipKeys.EVACUATION_KEY_PREFIX.length());
             if (entry.body().path("on").asBoolean()) {
                 evacuatedZones.add(zone);
             } else {
--- a/src/main/java/bramblespool/coordination/register/RegisterProposer.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterProposer.java
@@ -1,7 +1,6 @@
 package bramblespool.coordination.register;
 
 import bramblespool.coordination.hashing.RendezvousHash;
-import bramblespool.coordination.tenancy.AdmissionClient;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
@@ -31,6 +30,9 @@
  * and under the voters it knows to be in force.
  */
 public final class RegisterProposer {
+    /** Followed by a shard\'s number: names the shard that a tenant\'s registers belong to, and decides by hashing which voter leads them. */
+    public static final String SHARD_KEY_PREFIX = "tenants/";
+
     /** How a round ended: the value is ours; another one stands; or nobody can tell, and it counts as not ours. */
     public enum Outcome {
         CHOSEN,
@@ -179,7 +181,7 @@
 
     /** The slice that a register belongs to, as its id tells before the slash. */
     static String shardOf(String id) {
-        return AdmissionClient.SHARD_KEY_PREFIX + id.substring(0, id.indexOf('/'));
+        return SHARD_KEY_PREFIX + id.substring(0, id.indexOf('/'));
     }
 
     private boolean maySkipPrepare(String id) {
--- a/src/main/java/bramblespool/coordination/singleton/UsageReporter.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageReporter.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination.singleton;
 
+import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
-import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.EventLog;
@@ -204,7 +204,7 @@
 
     /** The window before which all are known to be reported. */
     private long lastReportedWindow() {
-        GossipStore.GossipEntry entry = gossip.get(EndpointDirectory.REPORTED_USAGE_KEY);
+        GossipStore.GossipEntry entry = gossip.get(GossipKeys.REPORTED_USAGE_KEY);
         if (entry != null) {
             lastReportedWindow =
                     Math.max(lastReportedWindow, entry.body().path("window").asLong());
@@ -375,7 +375,7 @@
                         backoffMs = 0;
                         lastReportedWindow = Math.max(lastReportedWindow, window);
                         gossip.publish(
-                                EndpointDirectory.REPORTED_USAGE_KEY,
+                                GossipKeys.REPORTED_USAGE_KEY,
                                 fencingToken,
                                 window,
                                 JsonNodeFactory.instance.objectNode().put("window", window));
--- a/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
+++ b/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
@@ -1,6 +1,7 @@
 package bramblespool.coordination.tenancy;
 
 import bramblespool.coordination.hashing.RendezvousHash;
+import bramblespool.coordination.register.RegisterProposer;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
 import bramblespool.transport.PeerTransport;
@@ -41,8 +42,6 @@
 
     /** Slices of tenants; each is owned whole by one helm. */
     public static final int SHARD_COUNT = 16;
-    /** Begins the key of a slice's duty. */
-    public static final String SHARD_KEY_PREFIX = "tenants/";
     /** Ratios to {@code quiet}: how long one helm is waited for, how long it is left aside after that, the pause between. */
     private static final int CALL_TIMEOUT_DIVISOR = 16;
 
@@ -80,7 +79,7 @@
     }
 
     public static String shardOf(String tenant) {
-        return SHARD_KEY_PREFIX
+        return RegisterProposer.SHARD_KEY_PREFIX
                 + Long.remainderUnsigned(RendezvousHash.mix(tenant.hashCode() * 0x9E3779B97F4A7C15L), SHARD_COUNT);
     }
 
@@ -88,7 +87,7 @@
     public String registerId(String tenant, String key) {
         String shard = shardOf(tenant);
         byte[] digest = sha256.digest((tenant + "\n" + key).getBytes(StandardCharsets.UTF_8));
-        return shard.substring(SHARD_KEY_PREFIX.length()) + "/"
+        return shard.substring(RegisterProposer.SHARD_KEY_PREFIX.length()) + "/"
                 + Base64.getUrlEncoder().withoutPadding().encodeToString(digest).substring(0, 20);
     }
 
--- a/src/main/java/bramblespool/coordination/tenancy/RequestAdmission.java
+++ b/src/main/java/bramblespool/coordination/tenancy/RequestAdmission.java
@@ -1,6 +1,5 @@
 package bramblespool.coordination.tenancy;
 
-import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.coordination.tenancy.IdempotencyTable.Operation;
 import bramblespool.coordination.tenancy.IdempotencyTable.State;
 import bramblespool.state.EventLog;
@@ -10,6 +9,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Consumer;
 
 /** What a request must get past before it is sent anywhere: its tenant's limit, and the claim of its operation key. */
 public final class RequestAdmission {
@@ -31,14 +31,29 @@
         void replay(IdempotencyTable.StoredResponse response);
     }
 
+    /** Asks the daemon that a claim names for the outcome of the claimed operation. */
+    public interface OutcomeQuery {
+        /** The callback gets null where that daemon did not answer, or cannot know the outcome after a restart. */
+        void queryOperation(
+                String registerId, String claim, long fingerprint, long timeoutMs, Consumer<JsonNode> callback);
+    }
+
     /** After how long a repeat may ask again for an operation that is in work. */
     private static final long IN_PROGRESS_RETRY_MS = 100;
 
-    private final DataPlaneNode dataPlane;
+    private final AdmissionClient admissionClient;
+    private final IdempotencyTable idempotencyTable;
+    private final OutcomeQuery outcomeQuery;
     private final EventLog log;
 
-    public RequestAdmission(DataPlaneNode dataPlane, EventLog log) {
-        this.dataPlane = dataPlane;
+    public RequestAdmission(
+            AdmissionClient admissionClient,
+            IdempotencyTable idempotencyTable,
+            OutcomeQuery outcomeQuery,
+            EventLog log) {
+        this.admissionClient = admissionClient;
+        this.idempotencyTable = idempotencyTable;
+        this.outcomeQuery = outcomeQuery;
         this.log = log;
     }
 
@@ -47,7 +62,7 @@
             handler.proceed(null);
             return;
         }
-        Operation operation = request.registerId == null ? null : dataPlane.idempotencyTable.get(request.registerId);
+        Operation operation = request.registerId == null ? null : idempotencyTable.get(request.registerId);
         if (operation == null) {
             claim(request, null, false, timeoutMs, handler);
             return;
@@ -80,20 +95,19 @@
 
     /** The claim stands since an earlier try that never ran: only the limit is asked for. */
     private void readmit(AdmissionRequest request, Operation operation, long timeoutMs, AdmissionHandler handler) {
-        dataPlane.idempotencyTable.markRunning(operation);
+        idempotencyTable.markRunning(operation);
         if (request.limit == null) {
             handler.proceed(operation);
             return;
         }
-        dataPlane.admissionClient.admit(
-                request.tenant, request.limit, request.epoch, null, null, null, timeoutMs, decision -> {
-                    if (decision.verdict() == AdmissionClient.Verdict.ADMITTED) {
-                        handler.proceed(operation);
-                    } else {
-                        dataPlane.idempotencyTable.markIdle(operation);
-                        rejectDecision(decision, handler);
-                    }
-                });
+        admissionClient.admit(request.tenant, request.limit, request.epoch, null, null, null, timeoutMs, decision -> {
+            if (decision.verdict() == AdmissionClient.Verdict.ADMITTED) {
+                handler.proceed(operation);
+            } else {
+                idempotencyTable.markIdle(operation);
+                rejectDecision(decision, handler);
+            }
+        });
     }
 
     private void claim(
@@ -104,8 +118,8 @@
             AdmissionHandler handler) {
         Operation operation = request.registerId == null
                 ? null
-                : dataPlane.idempotencyTable.startClaim(request.registerId, request.fingerprint);
-        dataPlane.admissionClient.admit(
+                : idempotencyTable.startClaim(request.registerId, request.fingerprint);
+        admissionClient.admit(
                 request.tenant,
                 isTokenTaken ? null : request.limit,
                 request.epoch,
@@ -116,7 +130,7 @@
                 decision -> {
                     if (decision.verdict() == AdmissionClient.Verdict.ADMITTED) {
                         if (operation != null) {
-                            dataPlane.idempotencyTable.markRunning(operation);
+                            idempotencyTable.markRunning(operation);
                         }
                         handler.proceed(operation);
                         return;
@@ -126,7 +140,7 @@
                         return;
                     }
                     if (operation != null) {
-                        dataPlane.idempotencyTable.markIdle(operation);
+                        idempotencyTable.markIdle(operation);
                     }
                     rejectDecision(decision, handler);
                 });
@@ -149,17 +163,17 @@
             boolean isSecondAttempt,
             long timeoutMs,
             AdmissionHandler handler) {
-        dataPlane.queryOperation(request.registerId, existingClaim, request.fingerprint, timeoutMs, outcome -> {
+        outcomeQuery.queryOperation(request.registerId, existingClaim, request.fingerprint, timeoutMs, outcome -> {
             String state = outcome == null ? "" : outcome.path("state").asText();
             if (state.equals(State.GIVEN.name()) && !isSecondAttempt) {
-                dataPlane.idempotencyTable.markIdle(operation);
+                idempotencyTable.markIdle(operation);
                 claim(request, existingClaim, true, timeoutMs, handler);
                 return;
             }
-            dataPlane.idempotencyTable.markIdle(operation);
+            idempotencyTable.markIdle(operation);
             if (state.equals(State.ANSWERED.name()) && outcome.has("code")) {
                 IdempotencyTable.StoredResponse response = decodeResponse(outcome);
-                dataPlane.idempotencyTable.recordResponse(operation, response);
+                idempotencyTable.recordResponse(operation, response);
                 handler.replay(response);
             } else if (state.equals("DIFFERS")) {
                 handler.reject(422, 0, "the key is another request's");
--- a/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
+++ b/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
@@ -354,6 +354,6 @@
     }
 
     private static String registerId(String shard) {
-        return shard.substring(AdmissionClient.SHARD_KEY_PREFIX.length()) + "/owner";
+        return shard.substring(RegisterProposer.SHARD_KEY_PREFIX.length()) + "/owner";
     }
 }
--- a/src/main/java/bramblespool/proxy/OutboundHandler.java
+++ b/src/main/java/bramblespool/proxy/OutboundHandler.java
@@ -86,7 +86,8 @@
         this.retryBudget = dataPlaneNode.retryBudget;
         this.admissionClient = dataPlaneNode.admissionClient;
         this.idempotencyTable = dataPlaneNode.idempotencyTable;
-        this.requestAdmission = new RequestAdmission(dataPlaneNode, log);
+        this.requestAdmission = new RequestAdmission(
+                dataPlaneNode.admissionClient, dataPlaneNode.idempotencyTable, dataPlaneNode::queryOperation, log);
         this.forwarder = forwarder;
         this.upstream = upstream;
         this.bufferPool = bufferPool;
--- a/src/test/java/bramblespool/cluster/IdempotencyAndRateLimitTest.java
+++ b/src/test/java/bramblespool/cluster/IdempotencyAndRateLimitTest.java
@@ -52,7 +52,7 @@
             return;
         }
         Simulator.Machine machine = mesh.simulator.machine(SimulatedMesh.sidecarPeer(sidecarIndex));
-        new RequestAdmission(proxy, EventLog.silent())
+        new RequestAdmission(proxy.admissionClient, proxy.idempotencyTable, proxy::queryOperation, EventLog.silent())
                 .admit(
                         new RequestAdmission.AdmissionRequest(
                                 "t", null, 1, proxy.admissionClient.registerId("t", key), key.hashCode()),
@@ -237,7 +237,7 @@
             return;
         }
         askedCount++;
-        new RequestAdmission(proxy, EventLog.silent())
+        new RequestAdmission(proxy.admissionClient, proxy.idempotencyTable, proxy::queryOperation, EventLog.silent())
                 .admit(
                         new RequestAdmission.AdmissionRequest(
                                 tenant, new RoutingConfiguration.Tenant(tenant, -1, ratePerS, BURST), 1, null, 0),
--- a/src/test/java/bramblespool/coordination/membership/EndpointDirectoryTest.java
+++ b/src/test/java/bramblespool/coordination/membership/EndpointDirectoryTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -41,8 +42,7 @@
                 .put("capacity", 4)
                 .put("open", true)
                 .put("slow", slow);
-        directory.onUpdate(
-                new GossipStore.GossipEntry(EndpointDirectory.PROXY_KEY_PREFIX + node, 1, ++sequence, payload));
+        directory.onUpdate(new GossipStore.GossipEntry(GossipKeys.PROXY_KEY_PREFIX + node, 1, ++sequence, payload));
     }
 
     private Map<String, Integer> countChoices(int times) {
--- a/src/test/java/bramblespool/proxy/SocketTestContext.java
+++ b/src/test/java/bramblespool/proxy/SocketTestContext.java
@@ -1,6 +1,7 @@
 package bramblespool.proxy;
 
 import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.protocol.Heartbeat;
@@ -159,11 +160,7 @@
         outboundAddress = listen(nodeListeners, runOnLoop(() -> {
             for (ObjectNode endpoint : endpoints) {
                 node.endpointDirectory.onUpdate(new GossipStore.GossipEntry(
-                        EndpointDirectory.PROXY_KEY_PREFIX
-                                + endpoint.path("inbound").asText(),
-                        1,
-                        1,
-                        endpoint));
+                        GossipKeys.PROXY_KEY_PREFIX + endpoint.path("inbound").asText(), 1, 1, endpoint));
             }
             return new OutboundHandler(
                     clock,
