--- a/src/main/java/bramblespool/coordination/register/RegisterProposer.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterProposer.java
@@ -1,7 +1,6 @@
 package bramblespool.coordination.register;
 
 import bramblespool.coordination.hashing.RendezvousHash;
-import bramblespool.coordination.tenancy.AdmissionClient;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
@@ -31,6 +30,11 @@
  * and under the voters it knows to be in force.
  */
 public final class RegisterProposer {
+    /**
+     * Begins the key by which rendezvous hashing names the voter that leads a shard's registers; the shard's number follows.
+     */
+    public static final String SHARD_KEY_PREFIX = "tenants/";
+
     /** Rounds that one proposal may take, where others propose at the same time. */
     private static final int MAX_ROUNDS = 6;
     /** A register's life in parts, for the removal of old words from the disk. */
@@ -168,7 +172,7 @@
 
     /** The slice that a register belongs to, as its id tells before the slash. */
     static String shardOf(String id) {
-        return AdmissionClient.SHARD_KEY_PREFIX + id.substring(0, id.indexOf('/'));
+        return SHARD_KEY_PREFIX + id.substring(0, id.indexOf('/'));
     }
 
     private boolean maySkipPrepare(String id) {
