--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -9,6 +9,9 @@
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
 import bramblespool.coordination.register.RegisterResult;
+import bramblespool.coordination.register.RegisterService;
+import bramblespool.coordination.register.RegisterTimings;
+import bramblespool.coordination.register.RegisterVoters;
 import bramblespool.coordination.singleton.SingletonRoles;
 import bramblespool.coordination.singleton.UsageReporter;
 import bramblespool.coordination.tenancy.AdmissionClient;
@@ -88,6 +91,7 @@
     public final GossipStore gossip;
     public final RaftNode raft;
     public final ShadowCommitCoordinator commitCoordinator;
+    public final RegisterService registers;
     public final RegisterProposer registerProposer;
     private final TenantRateLimiter rateLimiter;
     private final ShardLeases shardLeases;
@@ -175,17 +179,14 @@
         DurableStore.PersistentState savedState = durableStore.load();
         String memberId = settings.peerAddress() + "#" + savedState.incarnation();
         long registerRetentionMs = IdempotencyTable.retentionMs(bounds.idempotencyKeyWindowMs());
-        this.registerProposer = new RegisterProposer(
-                replicatedState,
-                memberId,
-                settings.tolerableMachineLosses() + 1,
+        this.registers = new RegisterService(
+                new RegisterVoters(replicatedState, memberId, settings.tolerableMachineLosses() + 1),
                 durableStore,
                 clock,
                 transport,
-                bounds.applyMs() / REGISTER_BATCH_DIVISOR,
-                callTimeoutMs / 2,
-                registerRetentionMs,
+                new RegisterTimings(bounds.applyMs() / REGISTER_BATCH_DIVISOR, callTimeoutMs / 2, registerRetentionMs),
                 log);
+        this.registerProposer = registers.proposer();
         this.shardLeases = new ShardLeases(
                 replicatedState,
                 registerProposer,
@@ -259,7 +260,7 @@
         publishSelf();
         raft.start();
         overloadDetector.start();
-        registerProposer.start();
+        registers.start();
         shardLeases.start();
         if (usageReporter != null) {
             usageReporter.start();
@@ -267,7 +268,7 @@
         clock.execute(this::join);
         clock.scheduleRepeatedly(renewalMs, () -> {
             closeExpiredSessions();
-            registerProposer.sync();
+            registers.sync();
             if (isAnnouncedAsVoter != replicatedState.voterSinceIndexes().containsKey(raft.localId())) {
                 publishSelf();
             }
@@ -728,7 +729,7 @@
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
-            clock.execute(registerProposer::sync);
+            clock.execute(registers::sync);
             shardLeases.onVotersChanged();
         }
     }
@@ -747,7 +748,7 @@
 
     @Override
     public boolean isSynced() {
-        return registerProposer.isSynced();
+        return registers.isSynced();
     }
 
     @Override
@@ -842,7 +843,7 @@
     @Override
     public void handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
         if (raft.handleRequest(kind, request, callback)
-                || registerProposer.handleRequest(kind, request, callback)
+                || registers.handleRequest(kind, request, callback)
                 || shardLeases.handleRequest(kind, request, callback)
                 || usageReporter != null && usageReporter.handleRequest(kind, request, callback)) {
             return;
@@ -934,10 +935,10 @@
         ObjectNode roleOwners = status.putObject("duties");
         replicatedState.singletonRoles().forEach((key, role) -> roleOwners.put(key, role.owner()));
         status.put("slices", shardLeases.ownedCount()).put("slicesInAll", AdmissionClient.SHARD_COUNT);
-        status.put("registers", registerProposer.registerCount())
+        status.put("registers", registers.registerCount())
                 .put("rounds", registerProposer.proposalRounds())
                 .put("unsure", registerProposer.unknownOutcomes())
-                .put("settled", registerProposer.isSynced());
+                .put("settled", registers.isSynced());
         if (usageReporter != null) {
             status.set("usage", usageReporter.status());
         }
--- a/src/main/java/bramblespool/coordination/register/RegisterAcceptor.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterAcceptor.java
@@ -1,161 +1,98 @@
 package bramblespool.coordination.register;
 
-import bramblespool.state.DurableStore;
-import bramblespool.transport.Clock;
-import java.util.ArrayDeque;
+import bramblespool.coordination.register.RegisterMessages.Accept;
+import bramblespool.coordination.register.RegisterMessages.AcceptorReply;
+import bramblespool.coordination.register.RegisterMessages.AcceptorRequest;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
+import java.util.function.Consumer;
 
 /**
- * A voter's part in the registers: what it has promised and accepted. Nothing here waits for the disk: whoever answers a
- * proposer does so only when the word returned by {@link #prepare} or {@link #accept} is kept.
+ * The acceptor of Paxos (Lamport, "Paxos Made Simple", section 2.2; Rystsov, "CASPaxos: Replicated State Machines
+ * without logs"), one instance for each register.
+ *
+ * <ul>
+ *   <li>It grants a prepare whose number is above all that it has promised or accepted, and from then on accepts nothing
+ *       below that number.
+ *   <li>It grants an accept whose number is not below its promise and not below what it has accepted.
+ *   <li>It accepts a proposal without a prepare phase only into a register of which it knows nothing, and only under the
+ *       epoch of voters in force: in one epoch one proposer may send such proposals, see {@link Proposal}.
+ *   <li>Durable before answer: a promise or an acceptance is on disk before anyone learns of it.
+ * </ul>
+ *
+ * <p>Confined to the event loop.
  */
 final class RegisterAcceptor {
-    /** One register here: the highest ballot promised, and what was accepted under which. */
-    static final class RegisterState {
-        private ProposalNumber promisedProposal;
-        private ProposalNumber acceptedProposal;
-        private String value;
-        private long expiresAtMs;
-
-        ProposalNumber promisedProposal() {
-            return promisedProposal;
-        }
-
-        ProposalNumber acceptedProposal() {
-            return acceptedProposal;
-        }
-
-        String value() {
-            return value;
-        }
+    private final RegisterVoters voters;
+    private final RegisterTable registers;
+    private final RegisterWriteBatcher writeBatcher;
+
+    RegisterAcceptor(RegisterVoters voters, RegisterTable registers, RegisterWriteBatcher writeBatcher) {
+        this.voters = voters;
+        this.registers = registers;
+        this.writeBatcher = writeBatcher;
     }
 
-    private record Expiry(String id, long expiresAtMs) {}
-
-    private final Clock clock;
-    private final long retentionMs;
-    private final TreeMap<String, RegisterState> registers = new TreeMap<>();
-    private final ArrayDeque<Expiry> expiries = new ArrayDeque<>();
-
-    /** What is loaded from disk lives on for a whole life from now: nobody knows how long this process was away. */
-    RegisterAcceptor(Clock clock, long retentionMs, List<DurableStore.StoredRegister> storedRegisters) {
-        this.clock = clock;
-        this.retentionMs = retentionMs;
-        for (DurableStore.StoredRegister stored : storedRegisters) {
-            if (!stored.registerId().isEmpty()) {
-                RegisterState state = registerState(stored.registerId());
-                state.promisedProposal = ProposalNumber.decode(stored.promisedProposal());
-                state.acceptedProposal = ProposalNumber.decode(stored.acceptedProposal());
-                state.value = stored.acceptedValue();
-            }
-        }
+    /** Decides on a request; the callback gets the reply once it is durable. */
+    void handle(AcceptorRequest request, Consumer<AcceptorReply> callback) {
+        AcceptorReply reply = decide(request);
+        writeBatcher.whenDurable(() -> callback.accept(reply));
     }
 
-    int size() {
-        return registers.size();
+    /** Decides on requests in their order; the callback gets the replies, in the same order, once all are durable. */
+    void handleAll(List<AcceptorRequest> requests, Consumer<List<AcceptorReply>> callback) {
+        List<AcceptorReply> replies = new ArrayList<>(requests.size());
+        for (AcceptorRequest request : requests) {
+            replies.add(decide(request));
+        }
+        // Also where nothing has changed: what a reply reports may still be on its way to the disk.
+        writeBatcher.whenDurable(() -> callback.accept(replies));
     }
 
-    /** The register here, or null where nothing was ever promised or accepted. */
-    RegisterState get(String id) {
-        return registers.get(id);
+    private AcceptorReply decide(AcceptorRequest request) {
+        boolean isGranted = !isOfOtherVoters(request.number())
+                && (request instanceof Accept accept ? accept(accept) : promise(request));
+        RegisterState state = registers.get(request.registerId());
+        return new AcceptorReply(isGranted, state.highestSeenRound(), state.acceptedNumber(), state.acceptedValue());
     }
 
-    private RegisterState registerState(String id) {
-        return registers.computeIfAbsent(id, registerId -> {
-            RegisterState state = new RegisterState();
-            state.expiresAtMs = clock.nowMs() + retentionMs;
-            expiries.add(new Expiry(registerId, state.expiresAtMs));
-            return state;
-        });
+    /** Whether the right to skip the prepare phase was another epoch's. */
+    private boolean isOfOtherVoters(ProposalNumber number) {
+        return number.isUnprepared() && number.votersEpoch() != voters.epoch();
     }
 
-    /** Promises to accept nothing below the ballot; false where it has promised or accepted that or a higher one. */
-    boolean prepare(String id, ProposalNumber proposalNumber) {
-        RegisterState state = registers.get(id);
-        if (state != null
-                && (notBelow(state.promisedProposal, proposalNumber)
-                        || notBelow(state.acceptedProposal, proposalNumber))) {
+    private boolean promise(AcceptorRequest request) {
+        RegisterState state = registers.get(request.registerId());
+        ProposalNumber number = request.number();
+        if (state.promisedNumber().compareTo(number) >= 0
+                || state.acceptedNumber().compareTo(number) >= 0) {
             return false;
         }
-        state = registerState(id);
-        state.promisedProposal = proposalNumber;
-        state.expiresAtMs = clock.nowMs() + retentionMs;
+        registers.promise(request.registerId(), number);
+        save(request.registerId());
         return true;
     }
 
-    private static boolean notBelow(ProposalNumber current, ProposalNumber proposalNumber) {
-        return current != null && current.compareTo(proposalNumber) >= 0;
-    }
-
-    /** Accepts a value; a round without a prepare only into a register of which nothing is known. */
-    boolean accept(String id, ProposalNumber proposalNumber, String value) {
-        RegisterState state = registers.get(id);
-        if (state != null) {
-            if (proposalNumber.equals(state.acceptedProposal)) {
-                return value.equals(state.value);
-            }
-            if (proposalNumber.number() == 0
-                    || state.promisedProposal != null && state.promisedProposal.compareTo(proposalNumber) > 0
-                    || state.acceptedProposal != null && state.acceptedProposal.compareTo(proposalNumber) > 0) {
-                return false;
-            }
+    private boolean accept(Accept request) {
+        RegisterState state = registers.get(request.registerId());
+        ProposalNumber number = request.number();
+        if (number.equals(state.acceptedNumber())) {
+            // The message came twice.
+            return request.value().equals(state.acceptedValue());
         }
-        state = registerState(id);
-        state.acceptedProposal = proposalNumber;
-        state.value = value;
-        state.expiresAtMs = clock.nowMs() + retentionMs;
-        return true;
-    }
-
-    /** Takes over what another acceptor has accepted, where that is newer. */
-    boolean adoptAccepted(String id, ProposalNumber acceptedProposal, String value) {
-        RegisterState state = registerState(id);
-        if (acceptedProposal == null
-                || state.acceptedProposal != null && state.acceptedProposal.compareTo(acceptedProposal) >= 0) {
+        if (number.isUnprepared() && state.isKnown()) {
             return false;
         }
-        state.acceptedProposal = acceptedProposal;
-        state.value = value;
-        return true;
-    }
-
-    /** The register as it goes to disk. */
-    DurableStore.StoredRegister storedRegister(String id) {
-        RegisterState state = registers.get(id);
-        return new DurableStore.StoredRegister(
-                id,
-                state.promisedProposal == null ? null : state.promisedProposal.encode(),
-                state.acceptedProposal == null ? null : state.acceptedProposal.encode(),
-                state.value);
-    }
-
-    /** Some of the registers in the order of their ids, from after the one named. */
-    List<String> idsAfter(String id, int limit) {
-        List<String> ids = new ArrayList<>();
-        for (Map.Entry<String, RegisterState> entry :
-                registers.tailMap(id, false).entrySet()) {
-            if (ids.size() == limit) {
-                break;
-            }
-            ids.add(entry.getKey());
+        if (state.promisedNumber().compareTo(number) > 0
+                || state.acceptedNumber().compareTo(number) > 0) {
+            return false;
         }
-        return ids;
+        registers.accept(request.registerId(), number, request.value());
+        save(request.registerId());
+        return true;
     }
 
-    /** Forgets what is past its life. */
-    void expire() {
-        long nowMs = clock.nowMs();
-        while (!expiries.isEmpty() && expiries.peek().expiresAtMs < nowMs) {
-            Expiry expiry = expiries.poll();
-            RegisterState state = registers.get(expiry.id);
-            if (state != null && state.expiresAtMs < nowMs) {
-                registers.remove(expiry.id);
-            } else if (state != null) {
-                expiries.add(new Expiry(expiry.id, state.expiresAtMs));
-            }
-        }
+    private void save(String registerId) {
+        writeBatcher.save(RegisterCodec.toStored(registerId, registers.get(registerId)));
     }
 }
--- a/src/test/java/bramblespool/cluster/CapacityMeasurement.java
+++ b/src/test/java/bramblespool/cluster/CapacityMeasurement.java
@@ -182,7 +182,7 @@
         }
         recordFigure(
                 "registers held by a voter",
-                mesh.controllers.values().iterator().next().registerProposer.registerCount());
+                mesh.controllers.values().iterator().next().registers.registerCount());
 
         // A tenth of the sides dies, and comes back.
         messagesBefore = simulator.messageCount;
--- a/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
+++ b/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
@@ -275,7 +275,7 @@
             assertTrue(
                     mesh.controllers
                             .get(SimulatedMesh.controllerPeer(lostIndex))
-                            .registerProposer
+                            .registers
                             .isSynced(),
                     "the new voter has read them");
             assertEquals(3, mesh.leader().raft.voters().size());
@@ -308,6 +308,6 @@
         mesh.simulator.run(100_000);
         mesh.controllers
                 .values()
-                .forEach(controller -> assertEquals(0, controller.registerProposer.registerCount(), "forgotten"));
+                .forEach(controller -> assertEquals(0, controller.registers.registerCount(), "forgotten"));
     }
 }
