--- a/src/main/java/bramblespool/cli/Commands.java
+++ b/src/main/java/bramblespool/cli/Commands.java
@@ -1,6 +1,7 @@
 package bramblespool.cli;
 
 import bramblespool.state.EventLog;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import java.io.IOException;
@@ -145,7 +146,7 @@
                 return ProcessLauncher.EXIT_OK;
             } catch (Settings.InvalidSettingsException e) {
                 System.err.println("bramblespool: " + e.getMessage());
-            } catch (RoutingConfiguration.InvalidConfigurationException e) {
+            } catch (InvalidConfigurationException e) {
                 System.err.println("bramblespool: " + file + ": " + e.getMessage());
             } catch (IOException e) {
                 System.err.println("bramblespool: " + file + ": cannot be read");
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -5,6 +5,7 @@
 import bramblespool.state.CompressedDocument;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
@@ -152,7 +153,7 @@
         try {
             JsonObject document = change.applyTo(currentConfiguration());
             configuration = RoutingConfiguration.compile(document, CompressedDocument.compress(document.toString()));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             confirmAndAnswer(pending, OperatorRequest.Result.invalid(e.getMessage()));
             return;
         }
@@ -218,7 +219,7 @@
                 : change.baseVersion() != epoch ? OperatorRequest.Result.versionConflict(epoch) : null;
     }
 
-    private RoutingConfiguration currentConfiguration() throws RoutingConfiguration.InvalidConfigurationException {
+    private RoutingConfiguration currentConfiguration() throws InvalidConfigurationException {
         ReplicatedState.Version version = replicatedState.current();
         if (version.compressedDocument() == null) {
             return null;
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -17,6 +17,7 @@
 import bramblespool.protocol.Heartbeat;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
@@ -421,7 +422,7 @@
                                     "doc",
                                     "cause",
                                     "another document");
-                        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+                        } catch (InvalidConfigurationException e) {
                             log.logOnChange(
                                     Event.MESSAGE_DROPPED,
                                     "doc" + e.getMessage(),
@@ -576,7 +577,7 @@
                     }
                     return response.put("ok", true)
                             .put("difference", candidate.difference(shadowCommit.realConfiguration()));
-                } catch (RoutingConfiguration.InvalidConfigurationException e) {
+                } catch (InvalidConfigurationException e) {
                     return response.put("ok", false).put("refused", true).put("why", e.getMessage());
                 }
             }
--- a/src/main/java/bramblespool/coordination/discovery/RegistryReader.java
+++ b/src/main/java/bramblespool/coordination/discovery/RegistryReader.java
@@ -3,7 +3,7 @@
 import bramblespool.protocol.RegistryPage;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.transport.Clock;
 import bramblespool.transport.PeerTransport;
 import bramblespool.transport.PlatformClient;
@@ -172,7 +172,7 @@
             RegistryPage page;
             try {
                 page = RegistryPage.parse(response.body());
-            } catch (RoutingConfiguration.InvalidConfigurationException e) {
+            } catch (InvalidConfigurationException e) {
                 failRead(e.getMessage());
                 return;
             }
--- a/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
+++ b/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination.tenancy;
 
 import bramblespool.coordination.hashing.RendezvousHash;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Tenant;
 import bramblespool.transport.Clock;
 import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -111,7 +111,7 @@
      */
     public void admit(
             String tenant,
-            RoutingConfiguration.Tenant limit,
+            Tenant limit,
             long epoch,
             String registerId,
             String claim,
--- a/src/main/java/bramblespool/coordination/tenancy/RequestAdmission.java
+++ b/src/main/java/bramblespool/coordination/tenancy/RequestAdmission.java
@@ -5,7 +5,7 @@
 import bramblespool.coordination.tenancy.IdempotencyTable.State;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Tenant;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -14,8 +14,7 @@
 /** What a request must get past before it is sent anywhere: its tenant's limit, and the claim of its operation key. */
 public final class RequestAdmission {
     /** Whose request it is, and which operation; {@code limited} is null without a limit, {@code register} without a key. */
-    public record AdmissionRequest(
-            String tenant, RoutingConfiguration.Tenant limit, long epoch, String registerId, long fingerprint) {
+    public record AdmissionRequest(String tenant, Tenant limit, long epoch, String registerId, long fingerprint) {
         boolean isUnrestricted() {
             return limit == null && registerId == null;
         }
--- a/src/main/java/bramblespool/coordination/traffic/ServerAdmissions.java
+++ b/src/main/java/bramblespool/coordination/traffic/ServerAdmissions.java
@@ -1,6 +1,7 @@
 package bramblespool.coordination.traffic;
 
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Service;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -61,8 +62,7 @@
     }
 
     private void configureSlowStart(ServerAdmission admission) {
-        RoutingConfiguration.Service service =
-                activeConfiguration == null ? null : activeConfiguration.services.get(admission.target());
+        Service service = activeConfiguration == null ? null : activeConfiguration.services.get(admission.target());
         admission.configureSlowStart(
                 service == null ? 0 : service.slowStartRatePerSecond(), service == null ? 0 : service.slowStartMs());
     }
--- a/src/main/java/bramblespool/process/ControllerProcess.java
+++ b/src/main/java/bramblespool/process/ControllerProcess.java
@@ -7,8 +7,8 @@
 import bramblespool.state.CompressedDocument;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
-import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.state.SqliteDurableStore;
 import bramblespool.transport.BodyStream;
@@ -158,7 +158,7 @@
     private void sendConfiguration(HttpServerExchange exchange, ReplicatedState.Version version) {
         try {
             Replies.sendJson(exchange, 200, CompressedDocument.decompress(version.compressedDocument()));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -167,7 +167,7 @@
         OperatorRequest.ConfigurationChange change;
         try {
             change = OperatorRequest.parseChange(isAmendment, body);
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             Replies.sendJson(exchange, 400, errorJson(e.getMessage()));
             return;
         }
--- a/src/main/java/bramblespool/process/ProxyProcess.java
+++ b/src/main/java/bramblespool/process/ProxyProcess.java
@@ -8,6 +8,7 @@
 import bramblespool.proxy.ServerForwarder;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.RequestLimits;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.EventLoop;
@@ -42,7 +43,7 @@
     private final OutboundHandler outboundHandler;
     private final HttpOpenListener clientListener;
     private final IdleConnections<ServerConnection> idleConnections;
-    private RoutingConfiguration.Limits limits = RoutingConfiguration.Limits.DEFAULT;
+    private RequestLimits limits = RequestLimits.DEFAULT;
     private boolean isReadyLogged;
 
     /** {@code target}: the service of this machine's server, or null where there is none. */
--- a/src/main/java/bramblespool/process/SidecarProcess.java
+++ b/src/main/java/bramblespool/process/SidecarProcess.java
@@ -5,7 +5,9 @@
 import bramblespool.proxy.Replies;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Service;
 import bramblespool.state.Settings;
 import bramblespool.transport.BodyStream;
 import bramblespool.transport.EventLoop;
@@ -43,7 +45,7 @@
 
     /** After a restart the server may have been running all along, and its next beat is some way off: it is asked once. */
     private void probeServer(RoutingConfiguration configuration) {
-        RoutingConfiguration.Service service = configuration.services.get(settings.serviceName());
+        Service service = configuration.services.get(settings.serviceName());
         if (service == null) {
             return;
         }
@@ -111,7 +113,7 @@
         String rejection;
         try {
             rejection = dataPlaneNode.onHeartbeat(Heartbeat.parse(serverId, body.prefix()));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             rejection = e.getMessage();
         }
         if (rejection != null) {
--- a/src/main/java/bramblespool/protocol/Heartbeat.java
+++ b/src/main/java/bramblespool/protocol/Heartbeat.java
@@ -1,6 +1,7 @@
 package bramblespool.protocol;
 
 import bramblespool.state.DocumentReader;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import java.util.ArrayList;
 import java.util.List;
@@ -38,7 +39,7 @@
         return id.indexOf('/') >= 0 ? null : id;
     }
 
-    public static Heartbeat parse(String id, byte[] body) throws RoutingConfiguration.InvalidConfigurationException {
+    public static Heartbeat parse(String id, byte[] body) throws InvalidConfigurationException {
         List<String> faults = new ArrayList<>();
         DocumentReader fields = new DocumentReader(RoutingConfiguration.parseDocument(body), "", faults);
         String state = fields.serverState("state");
@@ -55,7 +56,7 @@
             fields.addFault("capacity", "must be at least 1");
         }
         if (!faults.isEmpty()) {
-            throw new RoutingConfiguration.InvalidConfigurationException(faults);
+            throw new InvalidConfigurationException(faults);
         }
         return heartbeat;
     }
--- a/src/main/java/bramblespool/protocol/OperatorRequest.java
+++ b/src/main/java/bramblespool/protocol/OperatorRequest.java
@@ -1,5 +1,6 @@
 package bramblespool.protocol;
 
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonPrimitive;
@@ -13,16 +14,14 @@
     /** A change of configuration, whole or by named items, with the digest that makes a repeat known. */
     public record ConfigurationChange(JsonObject document, boolean isAmendment, long baseVersion, String digest) {
         /** The whole document that this change makes. */
-        public JsonObject applyTo(RoutingConfiguration current)
-                throws RoutingConfiguration.InvalidConfigurationException {
+        public JsonObject applyTo(RoutingConfiguration current) throws InvalidConfigurationException {
             if (!isAmendment) {
                 JsonObject newDocument = document.deepCopy();
                 newDocument.remove("baseVersion");
                 return newDocument;
             }
             if (current == null) {
-                throw new RoutingConfiguration.InvalidConfigurationException(
-                        List.of("there is no configuration to amend"));
+                throw new InvalidConfigurationException(List.of("there is no configuration to amend"));
             }
             return current.applyAmendment(document);
         }
@@ -51,14 +50,13 @@
     private OperatorRequest() {}
 
     public static ConfigurationChange parseChange(boolean isAmendment, byte[] body)
-            throws RoutingConfiguration.InvalidConfigurationException {
+            throws InvalidConfigurationException {
         JsonObject document = RoutingConfiguration.parseDocument(body);
         if (!document.has("epoch") || !isWholeNumber(document, "epoch")) {
-            throw new RoutingConfiguration.InvalidConfigurationException(List.of("epoch: must be a whole number"));
+            throw new InvalidConfigurationException(List.of("epoch: must be a whole number"));
         }
         if (document.has("baseVersion") && !isWholeNumber(document, "baseVersion")) {
-            throw new RoutingConfiguration.InvalidConfigurationException(
-                    List.of("baseVersion: must be a whole number"));
+            throw new InvalidConfigurationException(List.of("baseVersion: must be a whole number"));
         }
         long baseVersion =
                 document.has("baseVersion") ? document.get("baseVersion").getAsLong() : 0;
--- a/src/main/java/bramblespool/protocol/RegistryPage.java
+++ b/src/main/java/bramblespool/protocol/RegistryPage.java
@@ -1,6 +1,7 @@
 package bramblespool.protocol;
 
 import bramblespool.state.DocumentReader;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -49,7 +50,7 @@
     }
 
     /** Checks a page whole: nothing is taken from one with a fault. */
-    public static RegistryPage parse(byte[] body) throws RoutingConfiguration.InvalidConfigurationException {
+    public static RegistryPage parse(byte[] body) throws InvalidConfigurationException {
         JsonObject tree = RoutingConfiguration.parseDocument(body);
         List<String> faults = new ArrayList<>();
         List<RegisteredServer> servers = new ArrayList<>();
@@ -69,7 +70,7 @@
         }
         String nextToken = new DocumentReader(tree, "", faults).string("nextToken", "");
         if (!faults.isEmpty()) {
-            throw new RoutingConfiguration.InvalidConfigurationException(faults);
+            throw new InvalidConfigurationException(faults);
         }
         return new RegistryPage(servers, nextToken.isEmpty() ? null : nextToken);
     }
--- a/src/main/java/bramblespool/proxy/InboundHandler.java
+++ b/src/main/java/bramblespool/proxy/InboundHandler.java
@@ -5,7 +5,7 @@
 import bramblespool.coordination.traffic.ServerAdmissions;
 import bramblespool.protocol.ExecutionOutcome;
 import bramblespool.protocol.HeaderNames;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Route;
 import bramblespool.transport.BodyStream;
 import bramblespool.transport.Clock;
 import io.undertow.connector.ByteBufferPool;
@@ -50,8 +50,7 @@
     }
 
     /** The route under which the request may be handed to a server of the service, and its gate; or why not. */
-    record RouteResolution(
-            RoutingConfiguration.Route route, int rank, ServerAdmission serverAdmission, String rejectionReason) {
+    record RouteResolution(Route route, int rank, ServerAdmission serverAdmission, String rejectionReason) {
         private static RouteResolution rejected(String reason) {
             return new RouteResolution(null, 0, null, reason);
         }
@@ -73,7 +72,7 @@
             if (choice.isShadow()) {
                 return rejected("test");
             }
-            RoutingConfiguration.Route route = choice.configuration().route(headers.getFirst(Headers.HOST), path);
+            Route route = choice.configuration().route(headers.getFirst(Headers.HOST), path);
             if (route == null || !route.routesTo(service)) {
                 return rejected("route");
             }
--- a/src/main/java/bramblespool/proxy/OutboundHandler.java
+++ b/src/main/java/bramblespool/proxy/OutboundHandler.java
@@ -12,7 +12,11 @@
 import bramblespool.protocol.HeaderNames;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.Route;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Service;
+import bramblespool.state.Tenant;
+import bramblespool.state.WeightedTarget;
 import bramblespool.transport.BodyStream;
 import bramblespool.transport.Clock;
 import bramblespool.transport.UpstreamClient;
@@ -140,13 +144,13 @@
             Replies.sendTextAndClose(exchange, 413, "body too large");
             return;
         }
-        RoutingConfiguration.Route route =
+        Route route =
                 configuration.route(exchange.getRequestHeaders().getFirst(Headers.HOST), Replies.requestPath(exchange));
         if (route == null) {
             Replies.sendText(exchange, 404, "no route");
             return;
         }
-        RoutingConfiguration.Tenant tenant = null;
+        Tenant tenant = null;
         if (configuration.requiresTenantKey()) {
             String key = Replies.clientKey(exchange);
             tenant = key == null ? null : configuration.tenantOfKey(key);
@@ -203,13 +207,13 @@
                 : null;
     }
 
-    private String chooseService(RoutingConfiguration.Route route) {
+    private String chooseService(Route route) {
         double totalWeight = 0;
-        for (RoutingConfiguration.WeightedTarget share : route.weightedTargets()) {
+        for (WeightedTarget share : route.weightedTargets()) {
             totalWeight += share.weight();
         }
         double remainingWeight = clock.random() * totalWeight;
-        for (RoutingConfiguration.WeightedTarget share : route.weightedTargets()) {
+        for (WeightedTarget share : route.weightedTargets()) {
             remainingWeight -= share.weight();
             if (remainingWeight < 0 && share.weight() > 0) {
                 return share.service();
@@ -222,8 +226,8 @@
     private final class ProxiedExchange implements RequestAdmission.AdmissionHandler {
         private final HttpServerExchange exchange;
         private final RoutingConfiguration configuration;
-        private final RoutingConfiguration.Route route;
-        private final RoutingConfiguration.Tenant tenant;
+        private final Route route;
+        private final Tenant tenant;
         private final String service;
         private final long deadlineMs;
         private final String versionMark = shadowCommit.currentMark();
@@ -241,8 +245,8 @@
         ProxiedExchange(
                 HttpServerExchange exchange,
                 RoutingConfiguration configuration,
-                RoutingConfiguration.Route route,
-                RoutingConfiguration.Tenant tenant,
+                Route route,
+                Tenant tenant,
                 String service,
                 long deadlineMs) {
             this.exchange = exchange;
@@ -274,7 +278,7 @@
         }
 
         private RequestAdmission.AdmissionRequest admissionRequest(BodyStream.Body body) {
-            RoutingConfiguration.Tenant limitedTenant = tenant != null && tenant.ratePerSecond() > 0 ? tenant : null;
+            Tenant limitedTenant = tenant != null && tenant.ratePerSecond() > 0 ? tenant : null;
             String tenantName = tenant == null ? "" : tenant.name();
             if (!route.isKeyed()) {
                 return new RequestAdmission.AdmissionRequest(tenantName, limitedTenant, configuration.epoch, null, 0);
@@ -343,7 +347,7 @@
 
         /** Whether the service keeps its own record of keys, so that a run that broke off may be asked for again. */
         private boolean deduplicatesKeys() {
-            RoutingConfiguration.Service serviceConfiguration = configuration.services.get(service);
+            Service serviceConfiguration = configuration.services.get(service);
             return serviceConfiguration != null && serviceConfiguration.deduplicatesItself();
         }
 
--- a/src/main/java/bramblespool/proxy/ServerForwarder.java
+++ b/src/main/java/bramblespool/proxy/ServerForwarder.java
@@ -4,7 +4,7 @@
 import bramblespool.coordination.traffic.ServerAdmission;
 import bramblespool.protocol.ExecutionOutcome;
 import bramblespool.protocol.HeaderNames;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Route;
 import bramblespool.transport.BodyStream;
 import bramblespool.transport.Clock;
 import bramblespool.transport.UpstreamClient;
@@ -87,11 +87,7 @@
     }
 
     void forward(
-            ServerAdmission serverAdmission,
-            ForwardedRequest request,
-            RoutingConfiguration.Route route,
-            int rank,
-            ResultListener listener) {
+            ServerAdmission serverAdmission, ForwardedRequest request, Route route, int rank, ResultListener listener) {
         ForwardingAttempt attempt = new ForwardingAttempt(serverAdmission, request, listener);
         attempt.ticket = serverAdmission.admit(
                 route.name(),
--- a/src/main/java/bramblespool/state/CompressedDocument.java
+++ b/src/main/java/bramblespool/state/CompressedDocument.java
@@ -28,7 +28,7 @@
         return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
     }
 
-    public static String decompress(String compressed) throws RoutingConfiguration.InvalidConfigurationException {
+    public static String decompress(String compressed) throws InvalidConfigurationException {
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(Base64.getDecoder().decode(compressed));
@@ -38,13 +38,13 @@
                 int length = inflater.inflate(buffer);
                 if (length == 0 && (inflater.needsInput() || inflater.needsDictionary())
                         || out.size() > MAX_DOCUMENT_BYTES) {
-                    throw new RoutingConfiguration.InvalidConfigurationException(List.of("is not a packed document"));
+                    throw new InvalidConfigurationException(List.of("is not a packed document"));
                 }
                 out.write(buffer, 0, length);
             }
             return out.toString(StandardCharsets.UTF_8);
         } catch (IllegalArgumentException | DataFormatException e) {
-            throw new RoutingConfiguration.InvalidConfigurationException(List.of("is not a packed document"));
+            throw new InvalidConfigurationException(List.of("is not a packed document"));
         } finally {
             inflater.end();
         }
--- a/src/main/java/bramblespool/state/DocumentReader.java
+++ b/src/main/java/bramblespool/state/DocumentReader.java
@@ -176,8 +176,8 @@
         return result;
     }
 
-    public List<RoutingConfiguration.WeightedTarget> weightedTargets(String field) {
-        List<RoutingConfiguration.WeightedTarget> result = new ArrayList<>();
+    public List<WeightedTarget> weightedTargets(String field) {
+        List<WeightedTarget> result = new ArrayList<>();
         if (!has(field)) {
             return result;
         }
@@ -190,8 +190,7 @@
             String elementPath = path + field + "[" + index++ + "].";
             if (element.isJsonObject()) {
                 DocumentReader reader = new DocumentReader(element.getAsJsonObject(), elementPath, faults);
-                result.add(new RoutingConfiguration.WeightedTarget(
-                        reader.string("target", ""), reader.number("share", null)));
+                result.add(new WeightedTarget(reader.string("target", ""), reader.number("share", null)));
             } else {
                 faults.add(elementPath + ": must be an object");
             }
--- a/src/main/java/bramblespool/state/RoutingConfiguration.java
+++ b/src/main/java/bramblespool/state/RoutingConfiguration.java
@@ -27,76 +27,6 @@
 public final class RoutingConfiguration {
     public static final int PRIORITY_LEVELS = 16;
 
-    public record WeightedTarget(String service, double weight) {}
-
-    /** Which requests may run more than once: any number of times, at most once a try, or at most once for each key. */
-    public enum RouteClass {
-        IDEMPOTENT,
-        MUTATING,
-        KEYED
-    }
-
-    /** {@code open}: whether it may be used without a tenant's key. */
-    public record Route(
-            String name,
-            String authority,
-            String prefix,
-            RouteClass routeClass,
-            long deadlineMs,
-            long latencyTargetMs,
-            int priority,
-            List<WeightedTarget> weightedTargets,
-            int maxAttempts,
-            boolean isPublic) {
-        public boolean isIdempotent() {
-            return routeClass == RouteClass.IDEMPOTENT;
-        }
-
-        public boolean isKeyed() {
-            return routeClass == RouteClass.KEYED;
-        }
-
-        public boolean routesTo(String service) {
-            for (WeightedTarget weightedTarget : weightedTargets) {
-                if (weightedTarget.service.equals(service) && weightedTarget.weight > 0) {
-                    return true;
-                }
-            }
-            return false;
-        }
-    }
-
-    /** {@code dedups}: whether it keeps its own record of operation keys. */
-    public record Service(
-            String name,
-            String probePath,
-            int maxConnections,
-            long slowStartMs,
-            double slowStartRatePerSecond,
-            boolean deduplicatesItself) {}
-
-    /** Who calls. {@code rank} is -1 where the route's holds; a {@code ratePerS} of 0 is no limit. */
-    public record Tenant(String name, int priority, double ratePerSecond, double burst) {}
-
-    public record Limits(long headerBytes, long bodyBytes, long headerReadTimeoutMs, long idleTimeoutMs) {
-        public static final Limits DEFAULT = new Limits(16384, 64L << 20, 5000, 15000);
-    }
-
-    /** A configuration that may not come into force, with every fault found. */
-    public static final class InvalidConfigurationException extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        /** So many faults are named; of the others only how many there are. */
-        private static final int MAX_LISTED_FAULTS = 20;
-
-        public InvalidConfigurationException(List<String> faults) {
-            super(String.join("; ", faults.subList(0, Math.min(MAX_LISTED_FAULTS, faults.size())))
-                    + (faults.size() > MAX_LISTED_FAULTS
-                            ? "; and " + (faults.size() - MAX_LISTED_FAULTS) + " more"
-                            : ""));
-        }
-    }
-
     private static final String ROUTE_TABLE = "routeTable";
     private static final String SERVICE_TABLE = "serviceTable";
     private static final String TENANT_TABLE = "principals";
@@ -108,7 +38,7 @@
     public final String compressedDocument;
 
     public final Map<String, Service> services;
-    public final Limits limits;
+    public final RequestLimits limits;
     public final int routeCount;
     private final Map<String, HostRoutes> routesByHost;
     /** The tenants by their keys, or null where no keys are asked for. */
@@ -123,7 +53,7 @@
             long epoch,
             String compressedDocument,
             Map<String, Service> services,
-            Limits limits,
+            RequestLimits limits,
             Map<String, List<Route>> routeListsByHost,
             Map<String, Tenant> tenantsByKey,
             Map<String, Tenant> tenantsByName) {
@@ -140,8 +70,8 @@
             Map<String, Route> byPrefix = new HashMap<>();
             int longestPrefix = 0;
             for (Route route : hostEntry.getValue()) {
-                byPrefix.put(route.prefix, route);
-                longestPrefix = Math.max(longestPrefix, route.prefix.length());
+                byPrefix.put(route.prefix(), route);
+                longestPrefix = Math.max(longestPrefix, route.prefix().length());
             }
             hostRoutes.put(hostEntry.getKey(), new HostRoutes(byPrefix, longestPrefix));
             count += byPrefix.size();
@@ -181,7 +111,7 @@
     /** The rank of a request: its tenant's, where that has one, before the route's. */
     public int priority(Route route, String tenant) {
         Tenant tenantSettings = tenant == null ? null : tenantsByName.get(tenant);
-        return tenantSettings == null || tenantSettings.priority < 0 ? route.priority : tenantSettings.priority;
+        return tenantSettings == null || tenantSettings.priority() < 0 ? route.priority() : tenantSettings.priority();
     }
 
     /** The longest prefix on the exact bytes of the path, or null. Every prefix ends with a slash. */
@@ -262,8 +192,8 @@
                     rowReader.durationMs("warmup", "0ms"),
                     rowReader.number("warmPerS", 0.0),
                     rowReader.booleanValue("selfDedup", false));
-            if (service.name != null && services.put(service.name, service) != null) {
-                rowReader.addFault("name", "stands twice: " + service.name);
+            if (service.name() != null && services.put(service.name(), service) != null) {
+                rowReader.addFault("name", "stands twice: " + service.name());
             }
         }
         Map<String, List<Route>> routeListsByHost = new LinkedHashMap<>();
@@ -271,24 +201,25 @@
         Set<String> routeNames = new HashSet<>();
         for (DocumentReader rowReader : rows(json, ROUTE_TABLE, faults)) {
             Route route = route(rowReader, services);
-            if (route.name != null && !routeNames.add(route.name)) {
-                rowReader.addFault("name", "stands twice: " + route.name);
+            if (route.name() != null && !routeNames.add(route.name())) {
+                rowReader.addFault("name", "stands twice: " + route.name());
             }
-            if (route.authority != null && route.prefix != null) {
-                if (!usedPrefixes.add(hostKey(route.authority) + " " + route.prefix)) {
-                    rowReader.addFault("pathPrefix", "same place as another route: " + route.authority + route.prefix);
+            if (route.authority() != null && route.prefix() != null) {
+                if (!usedPrefixes.add(hostKey(route.authority()) + " " + route.prefix())) {
+                    rowReader.addFault(
+                            "pathPrefix", "same place as another route: " + route.authority() + route.prefix());
                 }
                 routeListsByHost
-                        .computeIfAbsent(hostKey(route.authority), k -> new ArrayList<>())
+                        .computeIfAbsent(hostKey(route.authority()), k -> new ArrayList<>())
                         .add(route);
             }
         }
-        Limits limits = Limits.DEFAULT;
+        RequestLimits limits = RequestLimits.DEFAULT;
         if (reader.has("limits")) {
             DocumentReader limitsReader = reader.section("limits");
-            limits = new Limits(
-                    limitsReader.wholeNumber("headerBytes", Limits.DEFAULT.headerBytes),
-                    limitsReader.wholeNumber("bodyBytes", Limits.DEFAULT.bodyBytes),
+            limits = new RequestLimits(
+                    limitsReader.wholeNumber("headerBytes", RequestLimits.DEFAULT.headerBytes()),
+                    limitsReader.wholeNumber("bodyBytes", RequestLimits.DEFAULT.bodyBytes()),
                     limitsReader.durationMs("headerRead", "5s"),
                     limitsReader.durationMs("idle", "15s"));
         }
@@ -318,14 +249,14 @@
                     ? (int) Math.max(0, Math.min(PRIORITY_LEVELS - 1, reader.wholeNumber("rank", 0L)))
                     : -1;
             Tenant tenant = new Tenant(reader.string("name"), priority, ratePerSecond, burst);
-            if (tenant.name == null) {
+            if (tenant.name() == null) {
                 continue;
             }
-            if (tenant.name.isBlank() || !tenant.name.chars().allMatch(c -> c > ' ' && c < 127)) {
+            if (tenant.name().isBlank() || !tenant.name().chars().allMatch(c -> c > ' ' && c < 127)) {
                 reader.addFault("name", "must be of printable letters without spaces");
             }
-            if (tenantsByName.put(tenant.name, tenant) != null) {
-                reader.addFault("name", "stands twice: " + tenant.name);
+            if (tenantsByName.put(tenant.name(), tenant) != null) {
+                reader.addFault("name", "stands twice: " + tenant.name());
             }
             for (String key : reader.strings("apiKeys")) {
                 if (key.isBlank()) {
@@ -334,7 +265,7 @@
                 }
                 Tenant other = tenantsByKey.put(key, tenant);
                 if (other != null && other != tenant) {
-                    reader.addFault("apiKeys", "share a key with " + other.name);
+                    reader.addFault("apiKeys", "share a key with " + other.name());
                 }
             }
         }
@@ -360,11 +291,11 @@
             }
         }
         for (WeightedTarget weightedTarget : weightedTargets) {
-            if (weightedTarget.weight < 0) {
-                reader.addFault("shares", "a weight is below 0: " + weightedTarget.service);
+            if (weightedTarget.weight() < 0) {
+                reader.addFault("shares", "a weight is below 0: " + weightedTarget.service());
             }
-            if (!services.containsKey(weightedTarget.service)) {
-                reader.addFault("target", "unknown service: " + weightedTarget.service);
+            if (!services.containsKey(weightedTarget.service())) {
+                reader.addFault("target", "unknown service: " + weightedTarget.service());
             }
         }
         int priority = (int) Math.max(0, Math.min(PRIORITY_LEVELS - 1, reader.wholeNumber("rank", 0L)));
@@ -425,7 +356,7 @@
         int changed = 0;
         int hash = 17;
         for (Route route : ownRoutes.values()) {
-            Route otherRoute = otherRoutes.get(route.name);
+            Route otherRoute = otherRoutes.get(route.name());
             if (otherRoute == null) {
                 added++;
             } else if (!otherRoute.equals(route)) {
@@ -437,9 +368,9 @@
         }
         int removed = 0;
         for (Route otherRoute : otherRoutes.values()) {
-            if (!ownRoutes.containsKey(otherRoute.name)) {
+            if (!ownRoutes.containsKey(otherRoute.name())) {
                 removed++;
-                hash += otherRoute.name.hashCode() * 31;
+                hash += otherRoute.name().hashCode() * 31;
             }
         }
         hash = hash * 31 + tenantsByName.hashCode() + (tenantsByKey == null ? 0 : tenantsByKey.hashCode());
@@ -450,7 +381,7 @@
         Map<String, Route> result = new LinkedHashMap<>();
         for (HostRoutes hostRoutes : routesByHost.values()) {
             for (Route route : hostRoutes.routesByPrefix.values()) {
-                result.put(route.name, route);
+                result.put(route.name(), route);
             }
         }
         return result;
--- a/src/test/java/bramblespool/cluster/CapacityMeasurement.java
+++ b/src/test/java/bramblespool/cluster/CapacityMeasurement.java
@@ -3,7 +3,7 @@
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.coordination.tenancy.AdmissionClient;
 import bramblespool.protocol.OperatorRequest;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Tenant;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.SimulatedPlatform;
 import bramblespool.testing.Simulator;
@@ -158,7 +158,7 @@
                 String tenant = "t" + i % 97;
                 proxy.admissionClient.admit(
                         tenant,
-                        new RoutingConfiguration.Tenant(tenant, -1, 1e6, 1e6),
+                        new Tenant(tenant, -1, 1e6, 1e6),
                         1,
                         keyed ? proxy.admissionClient.registerId(tenant, "k" + i) : null,
                         keyed ? "10.0.0.1:7000 life " + i : null,
--- a/src/test/java/bramblespool/cluster/EndpointAssignmentTest.java
+++ b/src/test/java/bramblespool/cluster/EndpointAssignmentTest.java
@@ -9,8 +9,8 @@
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.protocol.RegistryPage;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
-import bramblespool.state.RoutingConfiguration;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.SimulatedPlatform;
 import bramblespool.transport.PlatformClient;
@@ -248,9 +248,7 @@
                         : (fault.equals("cut") ? page.substring(0, page.length() - 9) : page)
                                 .getBytes(StandardCharsets.UTF_8));
         if (!fault.equals("429") && !fault.equals("silence") && !fault.equals("endless")) {
-            assertThrows(
-                    RoutingConfiguration.InvalidConfigurationException.class,
-                    () -> RegistryPage.parse(platform.pageOverride.body()));
+            assertThrows(InvalidConfigurationException.class, () -> RegistryPage.parse(platform.pageOverride.body()));
         }
         int before = platform.callsByPeer.values().stream().mapToInt(i -> i).sum();
         mesh.simulator.run(6000);
--- a/src/test/java/bramblespool/cluster/IdempotencyAndRateLimitTest.java
+++ b/src/test/java/bramblespool/cluster/IdempotencyAndRateLimitTest.java
@@ -7,7 +7,7 @@
 import bramblespool.coordination.tenancy.IdempotencyTable;
 import bramblespool.coordination.tenancy.RequestAdmission;
 import bramblespool.state.EventLog;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Tenant;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import java.util.ArrayList;
@@ -240,7 +240,7 @@
         new RequestAdmission(proxy, EventLog.silent())
                 .admit(
                         new RequestAdmission.AdmissionRequest(
-                                tenant, new RoutingConfiguration.Tenant(tenant, -1, ratePerS, BURST), 1, null, 0),
+                                tenant, new Tenant(tenant, -1, ratePerS, BURST), 1, null, 0),
                         300,
                         new RequestAdmission.AdmissionHandler() {
                             @Override
--- a/src/test/java/bramblespool/cluster/StaleTermTest.java
+++ b/src/test/java/bramblespool/cluster/StaleTermTest.java
@@ -10,6 +10,7 @@
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.CompressedDocument;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.testing.SimulatedMesh;
@@ -386,7 +387,7 @@
         try {
             String text = SimulatedMesh.document(epoch, 5, prefix);
             return RoutingConfiguration.compileCompressed(CompressedDocument.compress(text));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/bramblespool/coordination/configuration/ShadowCommitParticipantTest.java
+++ b/src/test/java/bramblespool/coordination/configuration/ShadowCommitParticipantTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.state.EventLog;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
@@ -20,7 +21,7 @@
     private static RoutingConfiguration configuration(long epoch) {
         try {
             return RoutingConfiguration.compile(SimulatedMesh.document(epoch, 0, "p" + epoch));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -90,7 +91,7 @@
 
     /** Two changes of one number: the one kept from an aborted commit is not the one that was decided. */
     @Test
-    void candidateWithSameVersionNumberIsDistinct() throws RoutingConfiguration.InvalidConfigurationException {
+    void candidateWithSameVersionNumberIsDistinct() throws InvalidConfigurationException {
         RoutingConfiguration other = RoutingConfiguration.compile(SimulatedMesh.document(7, 0, "other"));
         participant.prepareCandidate(5, 7, configuration(7), 0);
         assertEquals(-1, resolvedVersion(other.tag()));
@@ -110,7 +111,7 @@
     }
 
     @Test
-    void abortOfOneCandidateLeavesAnother() throws RoutingConfiguration.InvalidConfigurationException {
+    void abortOfOneCandidateLeavesAnother() throws InvalidConfigurationException {
         RoutingConfiguration other = RoutingConfiguration.compile(SimulatedMesh.document(7, 0, "other"));
         participant.prepareCandidate(5, 7, other, 0);
         participant.revert(7, configuration(7).stamp);
@@ -130,7 +131,7 @@
 
     /** In force is one document of a number; another one of it is neither confirmed nor marked. */
     @Test
-    void rivalOfActiveVersionNumberIsNotAcknowledged() throws RoutingConfiguration.InvalidConfigurationException {
+    void rivalOfActiveVersionNumberIsNotAcknowledged() throws InvalidConfigurationException {
         RoutingConfiguration other = RoutingConfiguration.compile(SimulatedMesh.document(5, 0, "other"));
         assertEquals("behind", participant.prepareCandidate(4, 5, other, 0));
         assertFalse(participant.startTagging(5, other.stamp));
--- a/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
+++ b/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
@@ -8,6 +8,7 @@
 
 import bramblespool.protocol.Heartbeat;
 import bramblespool.state.EventLog;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
@@ -101,8 +102,7 @@
 
     /** A steward's new gate: the version came before it, and its bound on cold servers holds here too. */
     @Test
-    void admissionCreatedAfterConfigurationHasItsSlowStartLimit()
-            throws RoutingConfiguration.InvalidConfigurationException {
+    void admissionCreatedAfterConfigurationHasItsSlowStartLimit() throws InvalidConfigurationException {
         ServerAdmissions gates = new ServerAdmissions();
         gates.applyConfiguration(RoutingConfiguration.compile(SimulatedMesh.document(5, 0, "one")));
         admission = new ServerAdmission(
--- a/src/test/java/bramblespool/model/OperatorClient.java
+++ b/src/test/java/bramblespool/model/OperatorClient.java
@@ -1,7 +1,7 @@
 package bramblespool.model;
 
 import bramblespool.protocol.OperatorRequest;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -80,7 +80,7 @@
         try {
             digest = OperatorRequest.parseChange(false, document.getBytes(StandardCharsets.UTF_8))
                     .digest();
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
         History.Change change = new History.Change(name, knownVersion, number, document, digest);
--- a/src/test/java/bramblespool/model/OperatorEndpoint.java
+++ b/src/test/java/bramblespool/model/OperatorEndpoint.java
@@ -2,7 +2,7 @@
 
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.protocol.OperatorRequest;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -64,7 +64,7 @@
         try {
             change = OperatorRequest.parseChange(
                     false, request.path("doc").asText().getBytes(StandardCharsets.UTF_8));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
         History.Change sent = runner.operators.changes.get(request.path("name").asInt());
--- a/src/test/java/bramblespool/state/DocumentFormatTest.java
+++ b/src/test/java/bramblespool/state/DocumentFormatTest.java
@@ -44,23 +44,22 @@
             })
     void invalidConfigurationIsRejectedWithReason(String from, String to, String fault) {
         assertTrue(VALID_DOCUMENT.contains(from));
-        RoutingConfiguration.InvalidConfigurationException invalid = assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
+        InvalidConfigurationException invalid = assertThrows(
+                InvalidConfigurationException.class,
                 () -> RoutingConfiguration.compile(VALID_DOCUMENT.replace(from, to)));
         assertTrue(invalid.getMessage().contains(fault), invalid.getMessage());
     }
 
     @Test
     void allErrorsAreReportedTogetherAndTruncatedDocumentIsRejected() {
-        RoutingConfiguration.InvalidConfigurationException e = assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
+        InvalidConfigurationException e = assertThrows(
+                InvalidConfigurationException.class,
                 () -> RoutingConfiguration.compile(
                         VALID_DOCUMENT.replace("/p/", "p").replace("null,2,\"desk\"", "null,2,\"nobody\"")));
         assertTrue(e.getMessage().contains("slash") && e.getMessage().contains("nobody"), e.getMessage());
         for (int cut = 1; cut < VALID_DOCUMENT.strip().length(); cut += 17) {
             String part = VALID_DOCUMENT.substring(0, cut);
-            assertThrows(
-                    RoutingConfiguration.InvalidConfigurationException.class, () -> RoutingConfiguration.compile(part));
+            assertThrows(InvalidConfigurationException.class, () -> RoutingConfiguration.compile(part));
         }
     }
 
@@ -83,19 +82,17 @@
     void lenientJsonIsRejected(String from, String to) {
         assertTrue(VALID_DOCUMENT.contains(from));
         assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
+                InvalidConfigurationException.class,
                 () -> RoutingConfiguration.compile(VALID_DOCUMENT.replace(from, to)));
         assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
+                InvalidConfigurationException.class,
                 () -> OperatorRequest.parseChange(
                         false, VALID_DOCUMENT.replace(from, to).getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void trailingContentAndInvalidUtf8AreRejected() throws RoutingConfiguration.InvalidConfigurationException {
-        assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
-                () -> RoutingConfiguration.compile(VALID_DOCUMENT + "{}"));
+    void trailingContentAndInvalidUtf8AreRejected() throws InvalidConfigurationException {
+        assertThrows(InvalidConfigurationException.class, () -> RoutingConfiguration.compile(VALID_DOCUMENT + "{}"));
         byte[] bytes = VALID_DOCUMENT.getBytes(StandardCharsets.UTF_8);
         assertEquals(
                 5,
@@ -104,24 +101,22 @@
                         .get("epoch")
                         .getAsLong());
         bytes[VALID_DOCUMENT.indexOf("x.example")] = (byte) 0xff;
-        assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
-                () -> OperatorRequest.parseChange(false, bytes));
+        assertThrows(InvalidConfigurationException.class, () -> OperatorRequest.parseChange(false, bytes));
     }
 
     @Test
     void duplicateRoutePrefixIsRejected() {
         String row = "[\"r\",\"x.example\",\"/p/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]";
         assertTrue(VALID_DOCUMENT.contains(row));
-        RoutingConfiguration.InvalidConfigurationException e = assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
+        InvalidConfigurationException e = assertThrows(
+                InvalidConfigurationException.class,
                 () -> RoutingConfiguration.compile(
                         VALID_DOCUMENT.replace(row, row + "," + row.replace("\"r\"", "\"q\""))));
         assertTrue(e.getMessage().contains("same place"), e.getMessage());
     }
 
     @Test
-    void longestPrefixOfExactPathWins() throws RoutingConfiguration.InvalidConfigurationException {
+    void longestPrefixOfExactPathWins() throws InvalidConfigurationException {
         String row = "[\"r\",\"x.example\",\"/p/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]";
         RoutingConfiguration configuration = RoutingConfiguration.compile(VALID_DOCUMENT.replace(
                 row, row + "," + row.replace("\"r\"", "\"q\"").replace("/p/", "/p/%2f/")));
@@ -132,7 +127,7 @@
     }
 
     @Test
-    void amendmentKeepsUnmentionedFields() throws RoutingConfiguration.InvalidConfigurationException {
+    void amendmentKeepsUnmentionedFields() throws InvalidConfigurationException {
         RoutingConfiguration configuration =
                 RoutingConfiguration.compile(VALID_DOCUMENT.replace("\"limits\"", "\"ours\":{\"x\":1},\"limits\""));
         JsonObject change = RoutingConfiguration.parseDocument("""
@@ -214,11 +209,9 @@
         assertTrue(packed.length() < document.length() / 4);
         assertEquals(document, CompressedDocument.decompress(packed));
         assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
+                InvalidConfigurationException.class,
                 () -> CompressedDocument.decompress(packed.substring(0, packed.length() / 2)));
-        assertThrows(
-                RoutingConfiguration.InvalidConfigurationException.class,
-                () -> CompressedDocument.decompress("no such thing!"));
+        assertThrows(InvalidConfigurationException.class, () -> CompressedDocument.decompress("no such thing!"));
     }
 
     private static String sidecarToml() {
--- a/src/test/java/bramblespool/testing/SimulatedMesh.java
+++ b/src/test/java/bramblespool/testing/SimulatedMesh.java
@@ -5,7 +5,7 @@
 import bramblespool.protocol.Heartbeat;
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.state.EventLog;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.Settings;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -282,7 +282,7 @@
     private static OperatorRequest.ConfigurationChange change(String document) {
         try {
             return OperatorRequest.parseChange(false, document.getBytes(StandardCharsets.UTF_8));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
