--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -1,6 +1,8 @@
 package bramblespool.coordination.configuration;
 
 import bramblespool.protocol.OperatorRequest;
+import bramblespool.raft.LeadershipConfirmation;
+import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.CompressedDocument;
 import bramblespool.state.EventLog;
@@ -170,8 +172,8 @@
                 .put("base", change.baseVersion())
                 .put("digest", change.digest())
                 .put("doc", configuration.compressedDocument);
-        raft.propose(e, ok -> {
-            if (!ok || generation != leadershipGeneration) {
+        raft.propose(e.toString(), proposal -> {
+            if (proposal != ProposalOutcome.COMMITTED || generation != leadershipGeneration) {
                 pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
                 return;
             }
@@ -186,8 +188,8 @@
      * confirmed since that nobody else leads; else there is none, for another leader may have decided more.
      */
     private void confirmAndAnswer(PendingChange pending, OperatorRequest.Result outcome) {
-        raft.confirmLeadership(ok -> {
-            if (!ok) {
+        raft.confirmLeadership(confirmation -> {
+            if (confirmation != LeadershipConfirmation.CONFIRMED) {
                 log.log(Event.QUORUM_UNCONFIRMED, "status", outcome.status(), "cause", outcome.message());
                 pending.callback.accept(OperatorRequest.Result.unknown("no majority confirms it"));
                 return;
@@ -295,8 +297,8 @@
                 members.get(),
                 timeouts.phaseMs,
                 ignored -> {});
-        raft.propose(ReplicatedState.entry("abort").put("epoch", epoch), ok -> {
-            if (ok && generation == leadershipGeneration) {
+        raft.propose(ReplicatedState.entry("abort").put("epoch", epoch).toString(), proposal -> {
+            if (proposal == ProposalOutcome.COMMITTED && generation == leadershipGeneration) {
                 onAborted.run();
             }
         });
@@ -307,18 +309,23 @@
         long generation = leadershipGeneration;
         unconfirmed = new HashSet<>(members.get());
         unconfirmed.removeAll(confirmed);
-        raft.propose(ReplicatedState.entry("decide").put("epoch", configuration.epoch), ok -> {
-            if (!ok || !replicatedState.isCommitted(pending.change.digest())) {
-                pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
-                return;
-            }
-            log.log(Event.COMMIT_DECIDED, "epoch", configuration.epoch);
-            pending.callback.accept(OperatorRequest.Result.accepted(configuration.epoch));
-            answerDecidedChanges();
-            if (generation == leadershipGeneration) {
-                sendTagPacket(configuration.epoch, confirmed);
-            }
-        });
+        raft.propose(
+                ReplicatedState.entry("decide")
+                        .put("epoch", configuration.epoch)
+                        .toString(),
+                proposal -> {
+                    if (proposal != ProposalOutcome.COMMITTED
+                            || !replicatedState.isCommitted(pending.change.digest())) {
+                        pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
+                        return;
+                    }
+                    log.log(Event.COMMIT_DECIDED, "epoch", configuration.epoch);
+                    pending.callback.accept(OperatorRequest.Result.accepted(configuration.epoch));
+                    answerDecidedChanges();
+                    if (generation == leadershipGeneration) {
+                        sendTagPacket(configuration.epoch, confirmed);
+                    }
+                });
     }
 
     /** Phase 2, TAG PACKET; then one latency bound, so that no call with a bit is under way. */
@@ -347,9 +354,10 @@
                 unresponsive -> raft.propose(
                         ReplicatedState.entry("phase")
                                 .put("epoch", epoch)
-                                .put("phase", ReplicatedState.Phase.SWAPPED.name()),
-                        ok -> {
-                            if (ok && generation == leadershipGeneration) {
+                                .put("phase", ReplicatedState.Phase.SWAPPED.name())
+                                .toString(),
+                        proposal -> {
+                            if (proposal == ProposalOutcome.COMMITTED && generation == leadershipGeneration) {
                                 sendMarkShadowBit(epoch, proxies, unresponsive);
                             }
                         }));
@@ -366,9 +374,10 @@
                 unresponsive -> raft.propose(
                         ReplicatedState.entry("phase")
                                 .put("epoch", epoch)
-                                .put("phase", ReplicatedState.Phase.MARKED.name()),
-                        ok -> {
-                            if (ok && generation == leadershipGeneration) {
+                                .put("phase", ReplicatedState.Phase.MARKED.name())
+                                .toString(),
+                        proposal -> {
+                            if (proposal == ProposalOutcome.COMMITTED && generation == leadershipGeneration) {
                                 unconfirmed = new HashSet<>(members.get());
                                 unconfirmed.removeAll(proxies);
                                 unconfirmed.addAll(unresponsiveAtSwap);
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -16,6 +16,8 @@
 import bramblespool.coordination.traffic.OverloadDetector;
 import bramblespool.coordination.traffic.RetryBudgetLeases;
 import bramblespool.protocol.OperatorRequest;
+import bramblespool.raft.LeadershipConfirmation;
+import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
 import bramblespool.raft.RaftTimeouts;
 import bramblespool.raft.StateMachine;
@@ -718,9 +720,9 @@
     // ---- what is agreed
 
     @Override
-    public void apply(long index, JsonNode entry) {
+    public void apply(long index, String entry) {
         long previousVotersChangedIndex = replicatedState.votersChangedIndex();
-        replicatedState.apply(index, entry);
+        replicatedState.apply(index, ReplicatedState.parse(entry));
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
@@ -730,13 +732,13 @@
     }
 
     @Override
-    public ObjectNode snapshot() {
-        return replicatedState.snapshot();
+    public String snapshot() {
+        return replicatedState.snapshot().toString();
     }
 
     @Override
-    public void restore(JsonNode data) {
-        replicatedState.restore(data);
+    public void restore(String snapshot) {
+        replicatedState.restore(ReplicatedState.parse(snapshot));
         shardLeases.onVotersChanged();
         schedulePublish();
     }
@@ -822,15 +824,21 @@
         if (raft.isLeader()
                 && !raft.hasUnappliedEntries()
                 && (current == null ? !isEvacuated : current.isEvacuated() == isEvacuated)) {
-            raft.confirmLeadership(callback);
+            raft.confirmLeadership(confirmation -> callback.accept(confirmation == LeadershipConfirmation.CONFIRMED));
             return;
         }
-        raft.propose(ReplicatedState.entry("evac").put("zone", zone).put("on", isEvacuated), callback);
+        raft.propose(
+                ReplicatedState.entry("evac")
+                        .put("zone", zone)
+                        .put("on", isEvacuated)
+                        .toString(),
+                outcome -> callback.accept(outcome == ProposalOutcome.COMMITTED));
     }
 
     /** The newest version, confirmed by a majority; null where that fails. */
     public void readConfiguration(Consumer<ReplicatedState.Version> callback) {
-        raft.confirmLeadership(ok -> callback.accept(ok ? replicatedState.current() : null));
+        raft.confirmLeadership(confirmation ->
+                callback.accept(confirmation == LeadershipConfirmation.CONFIRMED ? replicatedState.current() : null));
     }
 
     // ---- peers
--- a/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
+++ b/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
@@ -36,8 +36,11 @@
         ReplicatedState.SingletonRole role = replicatedState.singletonRoles().get(key);
         if (raft.isLeader() && role != null && role.fencingToken() == fencingToken && proposedKeys.add(key)) {
             raft.propose(
-                    ReplicatedState.entry("duty").put("key", key).put("holder", role.owner()),
-                    ok -> proposedKeys.remove(key));
+                    ReplicatedState.entry("duty")
+                            .put("key", key)
+                            .put("holder", role.owner())
+                            .toString(),
+                    outcome -> proposedKeys.remove(key));
         }
     }
 
@@ -59,8 +62,9 @@
             raft.propose(
                     ReplicatedState.entry("duty")
                             .put("key", key)
-                            .put("holder", RendezvousHash.highestWeighted(key, candidates)),
-                    ok -> proposedKeys.remove(key));
+                            .put("holder", RendezvousHash.highestWeighted(key, candidates))
+                            .toString(),
+                    outcome -> proposedKeys.remove(key));
         }
     }
 }
--- a/src/main/java/bramblespool/raft/MembershipChange.java
+++ b/src/main/java/bramblespool/raft/MembershipChange.java
@@ -78,7 +78,7 @@
             return;
         }
         if (voterSet.isJoint()) {
-            raft.append(RaftLog.votersEntry(VoterSet.decode(voterSet.newVoters())), ok -> {});
+            raft.append(LogEntryCodec.encodeVoters(VoterSet.decode(voterSet.newVoters())), outcome -> {});
             return;
         }
         List<String> nextVoters = targetVoters(voterSet.all(), nowMs);
@@ -89,7 +89,7 @@
             voterSet.all().stream()
                     .filter(voter -> !nextVoters.contains(voter))
                     .forEach(voter -> raft.log.log(Event.VOTER_REMOVED, "member", voter));
-            raft.append(RaftLog.votersEntry(voterSet.transitionTo(nextVoters)), ok -> {});
+            raft.append(LogEntryCodec.encodeVoters(voterSet.transitionTo(nextVoters)), outcome -> {});
         }
     }
 
--- a/src/main/java/bramblespool/raft/RaftLog.java
+++ b/src/main/java/bramblespool/raft/RaftLog.java
@@ -1,13 +1,7 @@
 package bramblespool.raft;
 
 import bramblespool.state.DurableStore;
-import bramblespool.state.ReplicatedState;
 import bramblespool.state.VoterSet;
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -16,9 +10,6 @@
  * snapshot covers stay in memory, for members that are only a little behind.
  */
 final class RaftLog {
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String MEMBERS = "members";
-
     private DurableStore.Snapshot snapshot;
     private final List<DurableStore.LogEntry> entries = new ArrayList<>();
     /** The index and the term of the entry right before the first one held. */
@@ -41,32 +32,6 @@
         }
     }
 
-    /** An entry that makes these the voters. */
-    static ObjectNode votersEntry(VoterSet voterSet) {
-        ObjectNode entry = ReplicatedState.entry(MEMBERS);
-        ArrayNode list = entry.putArray("voters");
-        voterSet.encoded().forEach(list::add);
-        return entry;
-    }
-
-    static JsonNode parseEntry(String data) {
-        try {
-            return JSON.readTree(data);
-        } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an agreed entry cannot be read", e);
-        }
-    }
-
-    private static boolean isVotersEntry(DurableStore.LogEntry entry) {
-        return entry.data().startsWith("{\"k\":\"" + MEMBERS + "\"");
-    }
-
-    private static List<String> votersOf(DurableStore.LogEntry entry) {
-        List<String> voterIds = new ArrayList<>();
-        parseEntry(entry.data()).path("voters").forEach(voter -> voterIds.add(voter.asText()));
-        return voterIds;
-    }
-
     DurableStore.Snapshot snapshot() {
         return snapshot;
     }
@@ -127,8 +92,8 @@
     void compact(long upToIndex, String snapshotData) {
         List<String> votersAtIndex = snapshot.voters();
         for (long i = snapshotIndex() + 1; i <= upToIndex; i++) {
-            if (isVotersEntry(get(i))) {
-                votersAtIndex = votersOf(get(i));
+            if (LogEntryCodec.isVotersEntry(get(i).data())) {
+                votersAtIndex = LogEntryCodec.decodeVoters(get(i).data());
             }
         }
         snapshot = new DurableStore.Snapshot(upToIndex, termAt(upToIndex), votersAtIndex, snapshotData);
@@ -178,8 +143,8 @@
 
     private List<String> findNewestVoters() {
         for (int i = entries.size() - 1; i >= 0; i--) {
-            if (isVotersEntry(entries.get(i))) {
-                return votersOf(entries.get(i));
+            if (LogEntryCodec.isVotersEntry(entries.get(i).data())) {
+                return LogEntryCodec.decodeVoters(entries.get(i).data());
             }
         }
         return snapshot.voters();
@@ -188,7 +153,7 @@
     /** Whether an entry behind this index names voters. */
     boolean hasVotersEntryAfter(long afterIndex) {
         for (long i = Math.max(afterIndex, snapshotIndex()) + 1; i <= lastIndex(); i++) {
-            if (isVotersEntry(get(i))) {
+            if (LogEntryCodec.isVotersEntry(get(i).data())) {
                 return true;
             }
         }
--- a/src/main/java/bramblespool/raft/RaftNode.java
+++ b/src/main/java/bramblespool/raft/RaftNode.java
@@ -3,7 +3,6 @@
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
-import bramblespool.state.ReplicatedState;
 import bramblespool.state.VoterSet;
 import bramblespool.transport.Clock;
 import bramblespool.transport.PeerTransport;
@@ -76,7 +75,7 @@
     private String previousLeaderId;
 
     private long previousLeaderContactMs;
-    private final Map<Long, Consumer<Boolean>> pendingProposals = new HashMap<>();
+    private final Map<Long, Consumer<ProposalOutcome>> pendingProposals = new HashMap<>();
 
     /** {@code losses}: how many disks may be lost at one time with nothing agreed lost and a majority left. */
     public RaftNode(
@@ -112,7 +111,7 @@
                 isSnapshotIntact = false;
                 log.log(Event.SNAPSHOT_REJECTED, "index", raftLog.snapshotIndex(), "cause", "digest, at the start");
             } else {
-                stateMachine.restore(RaftLog.parseEntry(state));
+                stateMachine.restore(state);
                 stateDigests.add(
                         raftLog.snapshotIndex(),
                         SnapshotChecksum.shortDigest(raftLog.snapshot().data()));
@@ -297,11 +296,10 @@
         return new DurableStore.LogEntry(
                 1,
                 0,
-                RaftLog.votersEntry(VoterSet.decode(addresses.stream()
-                                .sorted()
-                                .map(address -> address + "#" + FOUNDER_INCARNATION)
-                                .toList()))
-                        .toString());
+                LogEntryCodec.encodeVoters(VoterSet.decode(addresses.stream()
+                        .sorted()
+                        .map(address -> address + "#" + FOUNDER_INCARNATION)
+                        .toList())));
     }
 
     public static String addressOf(String memberId) {
@@ -390,8 +388,8 @@
         replication.clearFollowers();
         stateDigests.clearReported();
         log.log(Event.LEADER_ELECTED, "term", currentTerm);
-        append(ReplicatedState.entry("noop"), ok -> {
-            if (ok && role == Role.LEADER) {
+        append(LogEntryCodec.encodeNoop(), outcome -> {
+            if (outcome == ProposalOutcome.COMMITTED && role == Role.LEADER) {
                 isLeaderReady = true;
                 stateMachine.onLeadershipChanged(true);
             }
@@ -412,14 +410,15 @@
             leaderId = null;
             leaderControlAddress = null;
             membershipChange.clear();
-            List<Consumer<Boolean>> failedCallbacks = new ArrayList<>(pendingProposals.values());
+            List<Consumer<ProposalOutcome>> failedProposals = new ArrayList<>(pendingProposals.values());
             pendingProposals.clear();
-            failedCallbacks.addAll(readIndex.drainCallbacks());
+            List<Consumer<LeadershipConfirmation>> failedReads = readIndex.drainCallbacks();
             if (isLeaderReady) {
                 isLeaderReady = false;
                 stateMachine.onLeadershipChanged(false);
             }
-            failedCallbacks.forEach(callback -> callback.accept(false));
+            failedProposals.forEach(callback -> callback.accept(ProposalOutcome.LEADERSHIP_LOST));
+            failedReads.forEach(callback -> callback.accept(LeadershipConfirmation.NOT_CONFIRMED));
         }
         election.postpone();
         if (isNewerTerm) {
@@ -440,18 +439,17 @@
                 onDurable);
     }
 
-    /** Proposes an entry; false means that this helm lost the lead, and says nothing about the entry. */
-    public void propose(ObjectNode entry, Consumer<Boolean> callback) {
+    /** Proposes an entry, whose text is opaque here. */
+    public void propose(String entry, Consumer<ProposalOutcome> callback) {
         if (!isLeader()) {
-            callback.accept(false);
+            callback.accept(ProposalOutcome.LEADERSHIP_LOST);
             return;
         }
         append(entry, callback);
     }
 
-    void append(ObjectNode entry, Consumer<Boolean> callback) {
-        DurableStore.LogEntry newEntry =
-                new DurableStore.LogEntry(raftLog.lastIndex() + 1, currentTerm, entry.toString());
+    void append(String entry, Consumer<ProposalOutcome> callback) {
+        DurableStore.LogEntry newEntry = new DurableStore.LogEntry(raftLog.lastIndex() + 1, currentTerm, entry);
         raftLog.append(newEntry);
         pendingProposals.put(newEntry.index(), callback);
         long proposalTerm = currentTerm;
@@ -463,8 +461,8 @@
         replication.replicate(true);
     }
 
-    /** Answers true once a majority has confirmed that this member still leads. */
-    public void confirmLeadership(Consumer<Boolean> callback) {
+    /** Asks a majority whether this member still leads. */
+    public void confirmLeadership(Consumer<LeadershipConfirmation> callback) {
         readIndex.confirmLeadership(callback);
     }
 
@@ -472,21 +470,20 @@
         while (isSnapshotIntact && lastApplied < Math.min(commitIndex, raftLog.lastIndex())) {
             lastApplied++;
             DurableStore.LogEntry committedEntry = raftLog.get(lastApplied);
-            stateMachine.apply(committedEntry.index(), RaftLog.parseEntry(committedEntry.data()));
+            stateMachine.apply(committedEntry.index(), committedEntry.data());
             if (lastApplied % StateDigests.DIGEST_INTERVAL_ENTRIES == 0) {
                 recordStateDigest();
             }
-            Consumer<Boolean> callback = pendingProposals.remove(committedEntry.index());
+            Consumer<ProposalOutcome> callback = pendingProposals.remove(committedEntry.index());
             if (callback != null) {
-                callback.accept(true);
+                callback.accept(ProposalOutcome.COMMITTED);
             }
         }
     }
 
     /** All members fold at the same indices, so that one can go on with a snapshot that another had begun to send. */
     private void recordStateDigest() {
-        String snapshotData =
-                SnapshotChecksum.addChecksum(stateMachine.snapshot().toString());
+        String snapshotData = SnapshotChecksum.addChecksum(stateMachine.snapshot());
         stateDigests.add(lastApplied, SnapshotChecksum.shortDigest(snapshotData));
         if (lastApplied - raftLog.snapshotIndex() >= SNAPSHOT_INTERVAL_ENTRIES
                 || raftLog.sizeInChars(raftLog.snapshotIndex() + 1, lastApplied)
@@ -497,7 +494,7 @@
 
     /** Folds all that is applied, at any index. */
     void takeSnapshot() {
-        takeSnapshot(SnapshotChecksum.addChecksum(stateMachine.snapshot().toString()));
+        takeSnapshot(SnapshotChecksum.addChecksum(stateMachine.snapshot()));
     }
 
     private void takeSnapshot(String snapshotData) {
@@ -511,7 +508,7 @@
         boolean keepsEntries = raftLog.installSnapshot(snapshot);
         commitIndex = Math.max(commitIndex, snapshot.index());
         lastApplied = snapshot.index();
-        stateMachine.restore(RaftLog.parseEntry(state));
+        stateMachine.restore(state);
         stateDigests.add(snapshot.index(), SnapshotChecksum.shortDigest(snapshot.data()));
         isStateConsistent = true;
         isSnapshotIntact = true;
--- a/src/main/java/bramblespool/raft/ReadIndex.java
+++ b/src/main/java/bramblespool/raft/ReadIndex.java
@@ -6,7 +6,7 @@
 
 /** Reads that wait until a majority has confirmed, after each was asked for, that this member still leads (ReadIndex). */
 final class ReadIndex {
-    private record PendingRead(long requestedAtMs, Consumer<Boolean> callback) {}
+    private record PendingRead(long requestedAtMs, Consumer<LeadershipConfirmation> callback) {}
 
     private final RaftNode raft;
     private final List<PendingRead> pendingReads = new ArrayList<>();
@@ -20,9 +20,9 @@
     }
 
     /** Answers true once a majority has confirmed that this member still leads. */
-    void confirmLeadership(Consumer<Boolean> callback) {
+    void confirmLeadership(Consumer<LeadershipConfirmation> callback) {
         if (!raft.isLeader()) {
-            callback.accept(false);
+            callback.accept(LeadershipConfirmation.NOT_CONFIRMED);
             return;
         }
         pendingReads.add(new PendingRead(raft.clock.nowMs(), callback));
@@ -41,7 +41,7 @@
             }
         }
         pendingReads.removeAll(confirmed);
-        confirmed.forEach(read -> read.callback.accept(true));
+        confirmed.forEach(read -> read.callback.accept(LeadershipConfirmation.CONFIRMED));
         return !confirmed.isEmpty() && pendingReads.isEmpty();
     }
 
@@ -50,15 +50,15 @@
         pendingReads.removeIf(read -> {
             boolean isExpired = nowMs - read.requestedAtMs > raft.timeouts.electionMs();
             if (isExpired) {
-                read.callback.accept(false);
+                read.callback.accept(LeadershipConfirmation.NOT_CONFIRMED);
             }
             return isExpired;
         });
     }
 
     /** The lead is lost: takes out all that wait, to be answered false. */
-    List<Consumer<Boolean>> drainCallbacks() {
-        List<Consumer<Boolean>> callbacks = new ArrayList<>();
+    List<Consumer<LeadershipConfirmation>> drainCallbacks() {
+        List<Consumer<LeadershipConfirmation>> callbacks = new ArrayList<>();
         pendingReads.forEach(read -> callbacks.add(read.callback));
         pendingReads.clear();
         return callbacks;
--- a/src/main/java/bramblespool/state/ReplicatedState.java
+++ b/src/main/java/bramblespool/state/ReplicatedState.java
@@ -1,6 +1,8 @@
 package bramblespool.state;
 
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -17,6 +19,7 @@
     private static final int MAX_COMMITTED_DIGESTS = 4096;
 
     private static final int SHORT_DIGEST_CHARS = 32;
+    private static final ObjectMapper JSON = new ObjectMapper();
 
     public enum Phase {
         NONE,
@@ -96,6 +99,15 @@
         return digest.substring(0, Math.min(SHORT_DIGEST_CHARS, digest.length()));
     }
 
+    /** Reads the text of an entry or of a snapshot. */
+    public static JsonNode parse(String text) {
+        try {
+            return JSON.readTree(text);
+        } catch (JsonProcessingException e) {
+            throw new IllegalStateException("a committed entry or snapshot cannot be read", e);
+        }
+    }
+
     public static ObjectNode entry(String kind) {
         return JsonNodeFactory.instance.objectNode().put("k", kind);
     }
