--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -83,10 +83,10 @@
     private final EventLog log;
     private Settings settings;
     private final ReplicatedState replicatedState = new ReplicatedState();
-    public final GossipStore gossip;
-    public final RaftNode raft;
-    public final ShadowCommitCoordinator commitCoordinator;
-    public final RegisterProposer registerProposer;
+    private final GossipStore gossip;
+    private final RaftNode raft;
+    private final ShadowCommitCoordinator commitCoordinator;
+    private final RegisterProposer registerProposer;
     private final TenantRateLimiter rateLimiter;
     private final ShardLeases shardLeases;
     /** Whether this process founded its disk: nothing was ever granted before it. */
@@ -490,6 +490,18 @@
         return replicatedState;
     }
 
+    public RaftNode raft() {
+        return raft;
+    }
+
+    public ShadowCommitCoordinator commitCoordinator() {
+        return commitCoordinator;
+    }
+
+    public RegisterProposer registerProposer() {
+        return registerProposer;
+    }
+
     private void publishSelf() {
         isAnnouncedAsVoter = replicatedState.voterSinceIndexes().containsKey(raft == null ? "" : raft.localId());
         gossip.publish(JsonNodeFactory.instance
--- a/src/main/java/bramblespool/process/ControllerProcess.java
+++ b/src/main/java/bramblespool/process/ControllerProcess.java
@@ -72,7 +72,7 @@
         listeners.listen(settings.peerAddress(), transport, listenerOptions);
         listeners.listen(settings.controlAddress(), this::handleOperatorRequest, listenerOptions);
         controllerNode.start();
-        log.log(Event.READY, "member", controllerNode.raft.localId());
+        log.log(Event.READY, "member", controllerNode.raft().localId());
     }
 
     /** With a damaged store this helm is of no use until it starts anew, as a new member. */
@@ -97,8 +97,8 @@
             Replies.sendJson(exchange, 404, errorJson("no such call"));
         } else if (isRead ? !isGet : !isPost) {
             Replies.sendJson(exchange, 405, errorJson("wrong method"));
-        } else if (!controllerNode.raft.isLeader()) {
-            String leader = controllerNode.raft.leaderControlAddress();
+        } else if (!controllerNode.raft().isLeader()) {
+            String leader = controllerNode.raft().leaderControlAddress();
             if (leader == null) {
                 sendUnavailable(exchange, "no leader is known");
             } else {
--- a/src/test/java/bramblespool/cluster/CapacityMeasurement.java
+++ b/src/test/java/bramblespool/cluster/CapacityMeasurement.java
@@ -182,7 +182,7 @@
         }
         recordFigure(
                 "registers held by a voter",
-                mesh.controllers.values().iterator().next().registerProposer.registerCount());
+                mesh.controllers.values().iterator().next().registerProposer().registerCount());
 
         // A tenth of the sides dies, and comes back.
         messagesBefore = simulator.messageCount;
@@ -229,7 +229,8 @@
     private static void recordTrafficByRole(
             SimulatedMesh mesh, Map<String, long[]> before, double seconds, int proxies, String when) {
         Map<String, long[]> after = trafficByPeer(mesh);
-        String leader = bramblespool.raft.RaftNode.addressOf(mesh.leader().raft.localId());
+        String leader =
+                bramblespool.raft.RaftNode.addressOf(mesh.leader().raft().localId());
         double[] controllerTotals = new double[2];
         double[] proxyTotals = new double[2];
         after.forEach((peer, traffic) -> {
--- a/src/test/java/bramblespool/cluster/ClusterRecoveryTest.java
+++ b/src/test/java/bramblespool/cluster/ClusterRecoveryTest.java
@@ -50,7 +50,7 @@
         assertVersions(mesh, 9);
         ControllerNode leader = mesh.leader();
         assertEquals(ReplicatedState.Phase.MARKED, leader.replicatedState().phase());
-        assertTrue(leader.commitCoordinator.unconfirmed().isEmpty(), "all confirmed");
+        assertTrue(leader.commitCoordinator().unconfirmed().isEmpty(), "all confirmed");
         for (DataPlaneNode proxy : mesh.sidecars.values()) {
             assertEquals("0", proxy.shadowCommit.currentMark(), "marking is back to the bit");
             assertEquals(5, proxy.shadowCommit.shadowConfiguration().epoch, "the old version is the shadow");
@@ -79,7 +79,7 @@
         assertEquals(200, submit(mesh, 6, 5, "two").status());
         mesh.simulator.run(3000);
         assertEquals(5, mesh.sidecars.get(away).shadowCommit.epoch());
-        assertFalse(mesh.leader().commitCoordinator.unconfirmed().isEmpty(), "left unconfirmed");
+        assertFalse(mesh.leader().commitCoordinator().unconfirmed().isEmpty(), "left unconfirmed");
         mesh.simulator.setIsolated(away, false);
         mesh.simulator.run(2500);
         assertVersions(mesh, 6);
@@ -95,7 +95,7 @@
             OperatorRequest.Result[] outcome = new OperatorRequest.Result[1];
             mesh.submitToLeader(SimulatedMesh.change(6, 5, "two"), o -> outcome[0] = o);
             mesh.simulator.run(killedAfterMs);
-            String oldLeader = mesh.leader().raft.localId().split("#")[0];
+            String oldLeader = mesh.leader().raft().localId().split("#")[0];
             boolean acknowledged = outcome[0] != null && outcome[0].status() == 200;
             mesh.killController(oldLeader, true);
             mesh.simulator.run(8000);
@@ -123,7 +123,7 @@
         mesh.simulator.run(500);
         mesh.startController(peer, false);
         mesh.simulator.run(6000);
-        List<String> voters = mesh.leader().raft.voters();
+        List<String> voters = mesh.leader().raft().voters();
         assertEquals(3, voters.size(), voters.toString());
         assertFalse(voters.contains(peer + "#0"), "the wiped incarnation is out: " + voters);
         // With its place taken the group bears the loss of another.
@@ -137,11 +137,11 @@
         SimulatedMesh mesh = new SimulatedMesh(5, 3, 3);
         mesh.simulator.run(4000);
         submit(mesh, 5, 0, "one");
-        String fullPeer = mesh.leader().raft.localId().split("#")[0];
+        String fullPeer = mesh.leader().raft().localId().split("#")[0];
         mesh.simulator.machine(fullPeer).disk.isFull = true;
         mesh.submitToLeader(SimulatedMesh.change(6, 5, "two"), o -> {});
         mesh.simulator.run(4000);
-        assertFalse(mesh.controllers.get(fullPeer).raft.isLeader(), "a helm that cannot sync gives up the lead");
+        assertFalse(mesh.controllers.get(fullPeer).raft().isLeader(), "a helm that cannot sync gives up the lead");
         long currentVersion = mesh.leader().replicatedState().current().epoch();
         assertEquals(200, submit(mesh, 8, currentVersion, "three").status());
         mesh.simulator.machine(fullPeer).disk.isFull = false;
@@ -180,7 +180,7 @@
         mesh.simulator.run(500);
         mesh.submitToLeader(SimulatedMesh.change(7, 5, "lost"), o -> {});
         mesh.simulator.run(killedAfterMs);
-        mesh.killController(RaftNode.addressOf(mesh.leader().raft.leaderId()), true);
+        mesh.killController(RaftNode.addressOf(mesh.leader().raft().leaderId()), true);
         String away = SimulatedMesh.sidecarPeer(1);
         mesh.simulator.setIsolated(away, true);
         for (int i = 0;
@@ -232,7 +232,7 @@
         mesh.simulator.run(1000);
         String partitionedPeer = mesh.controllers.keySet().stream()
                 .filter(peer ->
-                        !peer.equals(RaftNode.addressOf(mesh.leader().raft.leaderId())))
+                        !peer.equals(RaftNode.addressOf(mesh.leader().raft().leaderId())))
                 .findFirst()
                 .orElseThrow();
         for (String peer : mesh.controllers.keySet()) {
@@ -316,7 +316,7 @@
         mesh.killController(first.owner(), true);
         String leader = mesh.leader() == null
                 ? null
-                : RaftNode.addressOf(mesh.leader().raft.leaderId());
+                : RaftNode.addressOf(mesh.leader().raft().leaderId());
         if (leader != null) {
             mesh.killController(leader, true);
             mesh.startController(leader, false);
@@ -349,7 +349,7 @@
         SimulatedMesh mesh = new SimulatedMesh(seed, controllerCount, 4, controllerCount / 2, null);
         mesh.simulator.run(6000);
         assertEquals(200, submit(mesh, 5, 0, "one").status());
-        String leader = RaftNode.addressOf(mesh.leader().raft.leaderId());
+        String leader = RaftNode.addressOf(mesh.leader().raft().leaderId());
         List<Long> acknowledged = new ArrayList<>();
         Random random = mesh.simulator.random;
         mesh.simulator.run(random.nextInt(400));
@@ -365,7 +365,7 @@
             }
             long number = i % 2 == 0 ? 7 : 8;
             mesh.controllers.forEach((peer, controller) -> {
-                if (controller.raft.isLeader() && peer.equals(leader) == (number == 7)) {
+                if (controller.raft().isLeader() && peer.equals(leader) == (number == 7)) {
                     controller.submitChange(SimulatedMesh.change(number, 5, "p" + number), outcome -> {
                         if (outcome.status() == 200) {
                             acknowledged.add(number);
--- a/src/test/java/bramblespool/cluster/EndpointAssignmentTest.java
+++ b/src/test/java/bramblespool/cluster/EndpointAssignmentTest.java
@@ -192,7 +192,7 @@
         Set<String> lostPeers = new TreeSet<>(List.of(registryReader("a")));
         if (includesLeader) {
             mesh.controllers.forEach((peer, controller) -> {
-                if (controller.raft.isLeader()) {
+                if (controller.raft().isLeader()) {
                     lostPeers.add(peer);
                 }
             });
@@ -303,7 +303,7 @@
     void acknowledgedChangesSurviveTwoDiskLossesAndPowerLoss(long seed) {
         SimulatedMesh cluster = new SimulatedMesh(seed, 5, 2, 2, platform);
         cluster.simulator.run(6000);
-        assertEquals(5, cluster.leader().raft.voters().size());
+        assertEquals(5, cluster.leader().raft().voters().size());
         OperatorRequest.Result[] outcome = new OperatorRequest.Result[1];
         cluster.submitToLeader(SimulatedMesh.change(5, 0, "one"), o -> outcome[0] = o);
         while (outcome[0] == null) {
--- a/src/test/java/bramblespool/cluster/LargeClusterTest.java
+++ b/src/test/java/bramblespool/cluster/LargeClusterTest.java
@@ -89,7 +89,7 @@
     @Test
     void changeCostsLeaderLittleAndEachProxyFourMessages() {
         mesh.simulator.run(8000);
-        String leader = RaftNode.addressOf(mesh.leader().raft.leaderId());
+        String leader = RaftNode.addressOf(mesh.leader().raft().leaderId());
         long idleMessages = -mesh.simulator.messageCount;
         double idleWork = -mesh.simulator.machine(leader).cpuMsUsed;
         mesh.simulator.run(1000);
@@ -158,7 +158,7 @@
         OperatorRequest.Result[] outcome = new OperatorRequest.Result[1];
         mesh.submitToLeader(SimulatedMesh.change(6, 5, "two"), o -> outcome[0] = o);
         mesh.simulator.run(killedAfterMs);
-        mesh.killController(RaftNode.addressOf(mesh.leader().raft.leaderId()), true);
+        mesh.killController(RaftNode.addressOf(mesh.leader().raft().leaderId()), true);
         mesh.simulator.run(5000);
         ControllerNode newLeader = mesh.leader();
         assertNotNull(newLeader, "a new leader");
@@ -179,10 +179,10 @@
     void overloadedControllerShedsAntiEntropyOnly() {
         mesh.simulator.run(8000);
         String slowPeer = mesh.controllers.keySet().stream()
-                .filter(h -> !h.equals(RaftNode.addressOf(mesh.leader().raft.leaderId())))
+                .filter(h -> !h.equals(RaftNode.addressOf(mesh.leader().raft().leaderId())))
                 .findFirst()
                 .orElseThrow();
-        long term = mesh.leader().raft.currentTerm();
+        long term = mesh.leader().raft().currentTerm();
         mesh.simulator.machine(slowPeer).cpuMsPerMessage = 14;
         int maxClosedSessions = 0;
         boolean isOverloaded = false;
@@ -205,7 +205,7 @@
         }
         assertTrue(isOverloaded, "it says so");
         assertEquals(0, maxClosedSessions, "sessions lost");
-        assertEquals(term, mesh.leader().raft.currentTerm(), "no election");
+        assertEquals(term, mesh.leader().raft().currentTerm(), "no election");
         mesh.simulator.machine(slowPeer).cpuMsPerMessage = 14;
         mesh.simulator.run(4000);
         assertEquals(200, submit(SimulatedMesh.change(5, 0, "one"), 1000).status());
@@ -215,7 +215,7 @@
     @Test
     void quorumSurvivesLossOfZoneAndOneMoreVoter() {
         mesh.simulator.run(12_000);
-        List<String> voters = mesh.leader().raft.voters();
+        List<String> voters = mesh.leader().raft().voters();
         assertEquals(5, voters.size(), voters.toString());
         List<String> lostPeers =
                 voters.stream().map(RaftNode::addressOf).limit(2).toList();
--- a/src/test/java/bramblespool/cluster/QuorumTest.java
+++ b/src/test/java/bramblespool/cluster/QuorumTest.java
@@ -40,7 +40,7 @@
     }
 
     private static String leaderPeer(SimulatedMesh mesh) {
-        return RaftNode.addressOf(mesh.leader().raft.localId());
+        return RaftNode.addressOf(mesh.leader().raft().localId());
     }
 
     /**
@@ -63,7 +63,7 @@
             OperatorRequest.Result[] outcome = new OperatorRequest.Result[1];
             for (int i = 0; i < 400 && (outcome[0] == null || outcome[0].status() != 200); i++) {
                 for (ControllerNode controller : mesh.controllers.values()) {
-                    if (controller != cutOff && controller.raft.isLeader()) {
+                    if (controller != cutOff && controller.raft().isLeader()) {
                         controller.submitChange(SimulatedMesh.change(6, 5, "v6"), o -> outcome[0] = o);
                     }
                 }
@@ -71,7 +71,7 @@
             }
             assertEquals(200, outcome[0].status(), "the others go on, seed " + seed);
             List<Integer> statuses = new ArrayList<>();
-            if (cutOff.raft.isLeader()) {
+            if (cutOff.raft().isLeader()) {
                 askedCount++;
             }
             cutOff.submitChange(SimulatedMesh.change(7, 6, "v7"), o -> statuses.add(o.status()));
@@ -94,16 +94,16 @@
         SimulatedMesh mesh = newMesh(3, 3, 1);
         String old = leaderPeer(mesh);
         ControllerNode other = mesh.controllers.values().stream()
-                .filter(h -> !h.raft.isLeader())
+                .filter(h -> !h.raft().isLeader())
                 .findFirst()
                 .orElseThrow();
-        assertNotNull(other.raft.leaderControlAddress());
+        assertNotNull(other.raft().leaderControlAddress());
         mesh.controllers.keySet().stream()
                 .filter(h -> mesh.controllers.get(h) != other)
                 .toList()
                 .forEach(h -> mesh.killController(h, true));
         mesh.simulator.run(2000);
-        assertEquals(null, other.raft.leaderControlAddress(), old + " is no longer known to lead");
+        assertEquals(null, other.raft().leaderControlAddress(), old + " is no longer known to lead");
     }
 
     /** Four helms, three voters: one is lost for good and another one after so long; what is there then agrees on things. */
@@ -132,7 +132,7 @@
 
     private static boolean toleratesNextLoss(long seed, long delayMs, boolean isLeaderFirst) {
         SimulatedMesh mesh = newMesh(seed, 4, 1);
-        String first = mesh.leader().raft.voters().stream()
+        String first = mesh.leader().raft().voters().stream()
                 .map(RaftNode::addressOf)
                 .filter(v -> v.equals(leaderPeer(mesh)) == isLeaderFirst)
                 .findFirst()
@@ -154,7 +154,7 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedMesh mesh = newMesh(seed, controllers, toleratedDiskLosses);
             for (int turn = 0; turn < 4; turn++) {
-                List<String> lost = new ArrayList<>(mesh.leader().raft.voters().stream()
+                List<String> lost = new ArrayList<>(mesh.leader().raft().voters().stream()
                         .map(RaftNode::addressOf)
                         .toList());
                 java.util.Collections.shuffle(lost, mesh.simulator.random);
@@ -177,7 +177,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void voterReplacedWhileAwayRejoinsAsFollower(long seed) {
         SimulatedMesh mesh = newMesh(seed, 4, 1);
-        String away = mesh.leader().raft.voters().stream()
+        String away = mesh.leader().raft().voters().stream()
                 .map(RaftNode::addressOf)
                 .filter(v -> !v.equals(leaderPeer(mesh)))
                 .findFirst()
@@ -186,7 +186,7 @@
         mesh.simulator.run(20_000);
         assertEquals(200, submit(mesh, 6, 5).status());
         assertFalse(
-                mesh.leader().raft.voters().stream()
+                mesh.leader().raft().voters().stream()
                         .map(RaftNode::addressOf)
                         .toList()
                         .contains(away),
@@ -205,25 +205,25 @@
     void leavingVoterHandsOverFirst(int controllers, boolean isLeader) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedMesh mesh = newMesh(seed, controllers, 1);
-            String leaver = mesh.leader().raft.voters().stream()
+            String leaver = mesh.leader().raft().voters().stream()
                     .map(RaftNode::addressOf)
                     .filter(v -> v.equals(leaderPeer(mesh)) == isLeader)
                     .findFirst()
                     .orElseThrow();
             ControllerNode controller = mesh.controllers.get(leaver);
-            long term = mesh.leader().raft.currentTerm();
+            long term = mesh.leader().raft().currentTerm();
             controller.leave();
             for (int i = 0; i < 200 && !controller.hasLeft(); i++) {
                 mesh.simulator.run(10);
             }
             assertTrue(controller.hasLeft(), "it may go, seed " + seed);
-            assertEquals(isLeader ? term + 1 : term, mesh.leader().raft.currentTerm(), "one election at most");
+            assertEquals(isLeader ? term + 1 : term, mesh.leader().raft().currentTerm(), "one election at most");
             mesh.killController(leaver, true);
             mesh.simulator.machine(leaver).disk.wipe();
             assertEquals(200, submit(mesh, 6, 5).status(), "no pause, seed " + seed);
             if (controllers == 4) {
                 assertFalse(
-                        mesh.leader().raft.voters().stream()
+                        mesh.leader().raft().voters().stream()
                                 .map(RaftNode::addressOf)
                                 .toList()
                                 .contains(leaver),
--- a/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
+++ b/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
@@ -126,7 +126,7 @@
             ControllerNode controller, String id, String replaces, java.util.function.Consumer<Operation> onDone) {
         Operation operation = new Operation("side " + ++valueCount, replaces, mesh.simulator.nowMs());
         histories.computeIfAbsent(id, i -> new ArrayList<>()).add(operation);
-        controller.registerProposer.compareAndSet(id, operation.value, replaces, 400, result -> {
+        controller.registerProposer().compareAndSet(id, operation.value, replaces, 400, result -> {
             operation.endedMs = mesh.simulator.nowMs();
             operation.outcome = result.outcome();
             onDone.accept(operation);
@@ -215,7 +215,7 @@
         Outcome[] outcome = new Outcome[1];
         // Whoever lives may be asked.
         ControllerNode at = mesh.controllers.values().iterator().next();
-        at.registerProposer.compareAndSet(id, value, replaces, 1500, r -> outcome[0] = r.outcome());
+        at.registerProposer().compareAndSet(id, value, replaces, 1500, r -> outcome[0] = r.outcome());
         for (int i = 0; i < 100 && outcome[0] == null; i++) {
             mesh.simulator.run(20);
         }
@@ -262,10 +262,10 @@
             assertTrue(
                     mesh.controllers
                             .get(SimulatedMesh.controllerPeer(lostIndex))
-                            .registerProposer
+                            .registerProposer()
                             .isSynced(),
                     "the new voter has read them");
-            assertEquals(3, mesh.leader().raft.voters().size());
+            assertEquals(3, mesh.leader().raft().voters().size());
         }
         for (int i = 0; i < 8; i++) {
             assertEquals(Outcome.CONFLICT, setAndAwait(i + "/k", "second " + i, null));
@@ -280,12 +280,14 @@
         mesh.controllers.values().forEach(controller -> {
             long messagesBefore = mesh.simulator.messageCount;
             boolean[] isWon = new boolean[1];
-            controller.registerProposer.compareAndSet(
-                    "5/k" + mesh.controllers.size() + controller.raft.localId(),
-                    "a",
-                    null,
-                    400,
-                    r -> isWon[0] = r.outcome() == Outcome.CHOSEN);
+            controller
+                    .registerProposer()
+                    .compareAndSet(
+                            "5/k" + mesh.controllers.size() + controller.raft().localId(),
+                            "a",
+                            null,
+                            400,
+                            r -> isWon[0] = r.outcome() == Outcome.CHOSEN);
             mesh.simulator.run(60);
             assertTrue(isWon[0]);
             minMessages[0] = Math.min(minMessages[0], mesh.simulator.messageCount - messagesBefore);
@@ -295,6 +297,7 @@
         mesh.simulator.run(100_000);
         mesh.controllers
                 .values()
-                .forEach(controller -> assertEquals(0, controller.registerProposer.registerCount(), "forgotten"));
+                .forEach(controller ->
+                        assertEquals(0, controller.registerProposer().registerCount(), "forgotten"));
     }
 }
--- a/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
+++ b/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
@@ -70,7 +70,7 @@
         mesh.simulator.run(4000);
         submitNext(routes);
         mesh.simulator.run(1000);
-        leaderPeer = RaftNode.addressOf(mesh.leader().raft.leaderId());
+        leaderPeer = RaftNode.addressOf(mesh.leader().raft().leaderId());
         List<String> others = mesh.controllers.keySet().stream()
                 .filter(h -> !h.equals(leaderPeer))
                 .toList();
@@ -117,7 +117,7 @@
                 .forEach(h -> machine(h).linkBytesPerMs = areAllSlow ? megabitsPerS * BYTES_PER_MS_OF_A_MEGABIT : 0);
         machine(laggingPeer).linkBytesPerMs = megabitsPerS * BYTES_PER_MS_OF_A_MEGABIT;
         machine(laggingPeer).disk.extraSyncMs = disturbance == Disturbance.SLOW_DISK ? 700 : 0;
-        long initialTerm = mesh.leader().raft.currentTerm();
+        long initialTerm = mesh.leader().raft().currentTerm();
         long initialBytes = mesh.simulator.byteCount;
         mesh.startController(laggingPeer, false);
         long electionCount = 0;
@@ -131,8 +131,8 @@
                 leaderless += 10;
                 continue;
             }
-            electionCount = currentLeader.raft.currentTerm() - initialTerm;
-            for (MemberProgress p : currentLeader.raft.memberProgress()) {
+            electionCount = currentLeader.raft().currentTerm() - initialTerm;
+            for (MemberProgress p : currentLeader.raft().memberProgress()) {
                 snapshots = Math.max(snapshots, p.snapshotsSent());
             }
             ControllerNode member = mesh.controllers.get(laggingPeer);
@@ -249,7 +249,7 @@
         startCluster(seed, 10);
         mesh.killController(laggingPeer, true);
         applyChanges(40, 10);
-        long term = mesh.leader().raft.currentTerm();
+        long term = mesh.leader().raft().currentTerm();
         machine(laggingPeer).linkBytesPerMs = 0.04 * BYTES_PER_MS_OF_A_MEGABIT;
         mesh.startController(laggingPeer, false);
         mesh.simulator.run(100);
@@ -268,7 +268,7 @@
                     ? 1
                     : 0;
         }
-        assertEquals(term, mesh.leader().raft.currentTerm());
+        assertEquals(term, mesh.leader().raft().currentTerm());
         assertTrue(caughtUpCount > 0, "it catches up");
         long[] heartbeatTraffic = mesh.simulator.trafficByKind.get("heartbeat");
         assertTrue(heartbeatTraffic != null && heartbeatTraffic[0] > 5, "heartbeats");
@@ -280,7 +280,7 @@
             mesh.simulator.run(5);
             for (MemberProgress progress : mesh.leader() == null
                     ? List.<MemberProgress>of()
-                    : mesh.leader().raft.memberProgress()) {
+                    : mesh.leader().raft().memberProgress()) {
                 maxSnapshots = Math.max(maxSnapshots, progress.snapshotsSent());
             }
         }
@@ -329,8 +329,8 @@
         assertEquals(0, result.terms, result.toString());
         assertTrue(result.mostSnapshots > 3, result.toString());
         ControllerNode currentLeader = mesh.leader();
-        long behind = currentLeader.raft.lastApplied()
-                - mesh.controllers.get(laggingPeer).raft.lastApplied();
+        long behind = currentLeader.raft().lastApplied()
+                - mesh.controllers.get(laggingPeer).raft().lastApplied();
         assertTrue(behind < 128, behind + " entries behind");
         String text = StatusCommand.format(leaderPeer, status(currentLeader), false);
         assertTrue(text.contains("too slow for the changes"), text);
@@ -389,7 +389,7 @@
         int sent = 0;
         for (int i = 0; i < 400 && (size == 0 || sent < size * 0.7); i++) {
             mesh.simulator.run(10);
-            for (MemberProgress progress : mesh.leader().raft.memberProgress()) {
+            for (MemberProgress progress : mesh.leader().raft().memberProgress()) {
                 if (progress.transferChars() > 0) {
                     size = progress.transferChars();
                     sent = progress.transferredChars();
@@ -426,7 +426,7 @@
         mesh.simulator.setIsolated(laggingPeer, true);
         applyChanges(64, 10);
         DurableStore.Snapshot snapshot = machine(leaderPeer).disk.load().snapshot();
-        assertTrue(snapshot.index() > member.raft.lastApplied());
+        assertTrue(snapshot.index() > member.raft().lastApplied());
         machine(laggingPeer).disk.extraSyncMs = 500;
         int[] answers = new int[1];
         List<Long> stored = new ArrayList<>();
@@ -435,7 +435,7 @@
                 answers[0] += answer.has("stored") ? 0 : 1;
                 stored.add(answer.path("stored").asLong(snapshot.index()));
             });
-            assertEquals(snapshot.index(), member.raft.lastApplied(), "in memory at once");
+            assertEquals(snapshot.index(), member.raft().lastApplied(), "in memory at once");
         }
         mesh.simulator.run(400);
         assertEquals(0, answers[0], "answers before the disk's");
@@ -450,9 +450,9 @@
         ControllerNode sender = mesh.controllers.get(leaderPeer);
         ObjectNode message = JsonNodeFactory.instance
                 .objectNode()
-                .put("to", recipient.raft.localId())
-                .put("from", sender.raft.localId())
-                .put("term", sender.raft.currentTerm())
+                .put("to", recipient.raft().localId())
+                .put("from", sender.raft().localId())
+                .put("term", sender.raft().currentTerm())
                 .put("control", "")
                 .put("n", 1)
                 .put("id", "x")
@@ -579,11 +579,11 @@
         applyChanges(40, 10);
         ControllerNode member = mesh.controllers.get(laggingPeer);
         corruptState(member);
-        long term = mesh.leader().raft.currentTerm();
+        long term = mesh.leader().raft().currentTerm();
         long[] highestApplied = new long[1];
         mesh.simulator.afterEach = () -> {
-            assertTrue(member.raft.lastApplied() >= highestApplied[0], "applied goes back");
-            highestApplied[0] = member.raft.lastApplied();
+            assertTrue(member.raft().lastApplied() >= highestApplied[0], "applied goes back");
+            highestApplied[0] = member.raft().lastApplied();
         };
         for (int i = 0; i < 80 && isStateCorrupted(member); i++) {
             submitNext(10);
@@ -595,8 +595,8 @@
         assertEquals(
                 mesh.leader().replicatedState().snapshot(),
                 member.replicatedState().snapshot());
-        assertEquals(term, mesh.leader().raft.currentTerm());
-        for (MemberProgress p : mesh.leader().raft.memberProgress()) {
+        assertEquals(term, mesh.leader().raft().currentTerm());
+        for (MemberProgress p : mesh.leader().raft().memberProgress()) {
             assertFalse(p.hasDivergedState(), p.toString());
         }
     }
@@ -613,7 +613,7 @@
         for (int i = 0; i < 2000 && !isKnown[0]; i++) {
             submitNext(10);
             mesh.simulator.run(2);
-            isKnown[0] = mesh.leader().raft.memberProgress().stream().anyMatch(p -> p.hasDivergedState());
+            isKnown[0] = mesh.leader().raft().memberProgress().stream().anyMatch(p -> p.hasDivergedState());
         }
         assertTrue(isKnown[0], "the leader knows");
         // So slow that the snapshot is under way when the leader dies, and so quick that what was under way has come by
@@ -623,7 +623,7 @@
         mesh.killController(leaderPeer, true);
         for (int i = 0; i < 400; i++) {
             mesh.simulator.run(10);
-            assertFalse(isStateCorrupted(member) && member.raft.isLeader(), "leads with a state of its own");
+            assertFalse(isStateCorrupted(member) && member.raft().isLeader(), "leads with a state of its own");
         }
         machine(laggingPeer).linkBytesPerMs = 0;
         mesh.simulator.run(4000);
--- a/src/test/java/bramblespool/cluster/StaleTermTest.java
+++ b/src/test/java/bramblespool/cluster/StaleTermTest.java
@@ -59,7 +59,7 @@
     }
 
     private static String leaderPeer(SimulatedMesh mesh) {
-        return RaftNode.addressOf(mesh.leader().raft.localId());
+        return RaftNode.addressOf(mesh.leader().raft().localId());
     }
 
     private static JsonNode call(SimulatedMesh mesh, String peer, String kind, ObjectNode message) {
@@ -171,7 +171,7 @@
         delayedMessages.forEach(m -> mesh.simulator.scheduleEvent(delayMs + r.nextInt(4), m));
         mesh.simulator.run(1500);
         assertEquals(200, outcome[0].status(), outcome[0].message());
-        assertEquals(Set.of(), mesh.leader().commitCoordinator.unconfirmed(), "late from " + delayMs);
+        assertEquals(Set.of(), mesh.leader().commitCoordinator().unconfirmed(), "late from " + delayMs);
         mesh.sidecars.forEach((peer, proxy) -> {
             assertEquals(epoch, proxy.shadowCommit.epoch(), peer);
             assertNotNull(proxy.shadowCommit.realConfiguration().route("x.example", "/won/"), peer);
@@ -204,7 +204,7 @@
         assertTrue(secondAttemptMessages[0] > 0);
         assertEquals(
                 Set.of(status(mesh, away).path("node").asText()),
-                mesh.leader().commitCoordinator.unconfirmed());
+                mesh.leader().commitCoordinator().unconfirmed());
     }
 
     /**
@@ -297,7 +297,7 @@
             mesh.simulator.run(50);
             if (n % 10 == 0 && decidedAtMs[0] == Long.MAX_VALUE) {
                 mesh.controllers.forEach((controllerPeer, controller) -> {
-                    if (controller.raft.isLeader() && !controllerPeer.equals(partitionedPeer)) {
+                    if (controller.raft().isLeader() && !controllerPeer.equals(partitionedPeer)) {
                         controller.submitChange(SimulatedMesh.change(6, 5, "two"), outcome -> {
                             if (outcome.status() == 200) {
                                 decidedAtMs[0] = Math.min(decidedAtMs[0], mesh.simulator.nowMs());
@@ -318,7 +318,7 @@
     void proxyWithHigherTermIsNeverStuck(long seed) {
         SimulatedMesh mesh = newMesh(seed, 3, 6);
         String peer = SimulatedMesh.sidecarPeer(mesh.simulator.random.nextInt(6));
-        long higherTerm = mesh.leader().raft.currentTerm() + 50;
+        long higherTerm = mesh.leader().raft().currentTerm() + 50;
         call(
                 mesh,
                 peer,
@@ -333,8 +333,8 @@
         assertEquals(200, submit(mesh, 6, 5, "two").status());
         awaitStable(mesh);
         assertTrue(
-                mesh.leader().raft.currentTerm() > higherTerm,
-                mesh.leader().raft.currentTerm() + " leads, " + higherTerm + " was known");
+                mesh.leader().raft().currentTerm() > higherTerm,
+                mesh.leader().raft().currentTerm() + " leads, " + higherTerm + " was known");
         long base = mesh.leader().replicatedState().current().epoch();
         assertCommits(mesh, base + 1, base, List.of());
     }
@@ -343,10 +343,10 @@
     @Test
     void messageOfLowerTermIsRejectedWithHigherTerm() {
         SimulatedMesh mesh = newMesh(3, 3, 6);
-        long term = mesh.leader().raft.currentTerm();
+        long term = mesh.leader().raft().currentTerm();
         mesh.killController(leaderPeer(mesh), true);
         mesh.simulator.run(5000);
-        long currentTerm = mesh.leader().raft.currentTerm();
+        long currentTerm = mesh.leader().raft().currentTerm();
         assertTrue(currentTerm > term);
         ObjectNode message = JsonNodeFactory.instance
                 .objectNode()
@@ -407,7 +407,10 @@
             mesh.controllers
                     .values()
                     .forEach(h -> highestTermLed[0] = Math.max(
-                            highestTermLed[0], h.raft.localId().equals(h.raft.leaderId()) ? h.raft.currentTerm() : 0));
+                            highestTermLed[0],
+                            h.raft().localId().equals(h.raft().leaderId())
+                                    ? h.raft().currentTerm()
+                                    : 0));
             mesh.sidecars.keySet().forEach(sidecarPeer -> {
                 long known = status(mesh, sidecarPeer).path("term").asLong();
                 if (known > highestTermLed[0]) {
@@ -447,7 +450,7 @@
             mesh.simulator.run(6000);
             assertEquals(List.of(), violations.stream().limit(3).toList(), "round " + round);
             assertNotNull(mesh.leader(), "round " + round);
-            long term = mesh.leader().raft.currentTerm();
+            long term = mesh.leader().raft().currentTerm();
             mesh.sidecars
                     .keySet()
                     .forEach(sidecarPeer ->
@@ -696,7 +699,7 @@
         mesh.simulator.interceptor = (from, to, kind, message, deliver) -> {
             if (from.equals(oldLeader) && kind.equals("cell")) {
                 sentCount[0] += message.path("phase").asInt() == phase ? 1 : 0;
-                if (!deposed.raft.isLeader()) {
+                if (!deposed.raft().isLeader()) {
                     violations.add("phase " + message.path("phase").asInt() + " in term "
                             + message.path("term").asLong());
                 }
@@ -709,8 +712,8 @@
         }
         assertTrue(sentCount[0] > 0);
         mesh.simulator.run(random.nextInt(phase == 0 ? 100 : 10));
-        deposed.raft.observeTerm(deposed.raft.currentTerm() + 1);
-        assertFalse(deposed.raft.isLeader());
+        deposed.raft().observeTerm(deposed.raft().currentTerm() + 1);
+        assertFalse(deposed.raft().isLeader());
         mesh.simulator.run(400);
         assertEquals(List.of(), violations);
     }
@@ -722,7 +725,7 @@
         mesh.simulator.run(20_000);
         long fencingToken =
                 mesh.leader().replicatedState().singletonRoles().get("usage").fencingToken();
-        long term = mesh.leader().raft.currentTerm();
+        long term = mesh.leader().raft().currentTerm();
         ObjectNode message =
                 JsonNodeFactory.instance.objectNode().put("key", "usage").put("fence", fencingToken);
         assertEquals(
--- a/src/test/java/bramblespool/model/RaftView.java
+++ b/src/test/java/bramblespool/model/RaftView.java
@@ -11,28 +11,28 @@
     private RaftView() {}
 
     static boolean isLeader(ControllerNode controller) {
-        return controller.raft.isLeader();
+        return controller.raft().isLeader();
     }
 
     static long term(ControllerNode controller) {
-        return controller.raft.currentTerm();
+        return controller.raft().currentTerm();
     }
 
     static long applied(ControllerNode controller) {
-        return controller.raft.lastApplied();
+        return controller.raft().lastApplied();
     }
 
     /** Where a caller is sent on to, or null. */
     static String leaderControl(ControllerNode controller) {
-        return controller.raft.leaderControlAddress();
+        return controller.raft().leaderControlAddress();
     }
 
     static List<String> voters(ControllerNode controller) {
-        return controller.raft.voters();
+        return controller.raft().voters();
     }
 
     static String memberId(ControllerNode controller) {
-        return controller.raft.localId();
+        return controller.raft().localId();
     }
 
     /** Whether only a leader sends this kind of message. */
--- a/src/test/java/bramblespool/state/SqliteDurableStoreTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreTest.java
@@ -751,7 +751,7 @@
             SqliteDurableStore store = openStore(new SyncedDirectory(dir), log);
             ControllerNode core =
                     new ControllerNode(settings, store, "fresh", machine, machine, null, EventLog.silent());
-            assertTrue(core.raft.localId().endsWith("#" + wanted), core.raft.localId());
+            assertTrue(core.raft().localId().endsWith("#" + wanted), core.raft().localId());
             store.close();
             if (logOutput.toString().contains("again")) {
                 StoreDamage.HEAD_GONE.damage.apply(dir.resolve(DB));
--- a/src/test/java/bramblespool/testing/SimulatedMesh.java
+++ b/src/test/java/bramblespool/testing/SimulatedMesh.java
@@ -239,8 +239,9 @@
     public ControllerNode leader() {
         ControllerNode best = null;
         for (ControllerNode controller : controllers.values()) {
-            if (controller.raft.isLeader()
-                    && (best == null || controller.raft.currentTerm() > best.raft.currentTerm())) {
+            if (controller.raft().isLeader()
+                    && (best == null
+                            || controller.raft().currentTerm() > best.raft().currentTerm())) {
                 best = controller;
             }
         }
