--- a/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
+++ b/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
@@ -2,7 +2,6 @@
 
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.register.RegisterProposer;
-import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Tenant;
 import bramblespool.transport.Clock;
 import bramblespool.transport.PeerTransport;
--- a/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
+++ b/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
@@ -293,12 +293,14 @@
         mesh.controllers.values().forEach(controller -> {
             long messagesBefore = mesh.simulator.messageCount;
             boolean[] isWon = new boolean[1];
-            controller.registerProposer().compareAndSet(
-                    "5/k" + mesh.controllers.size() + controller.raft().localId(),
-                    "a",
-                    null,
-                    400,
-                    r -> isWon[0] = r instanceof RegisterResult.Chosen);
+            controller
+                    .registerProposer()
+                    .compareAndSet(
+                            "5/k" + mesh.controllers.size() + controller.raft().localId(),
+                            "a",
+                            null,
+                            400,
+                            r -> isWon[0] = r instanceof RegisterResult.Chosen);
             mesh.simulator.run(60);
             assertTrue(isWon[0]);
             minMessages[0] = Math.min(minMessages[0], mesh.simulator.messageCount - messagesBefore);
