--- a/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
+++ b/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
@@ -139,7 +139,7 @@
             ControllerNode controller, String id, String replaces, java.util.function.Consumer<Operation> onDone) {
         Operation operation = new Operation("side " + ++valueCount, replaces, mesh.simulator.nowMs());
         histories.computeIfAbsent(id, i -> new ArrayList<>()).add(operation);
-        controller.registerProposer.compareAndSet(id, operation.value, replaces, 400, result -> {
+        controller.registerProposer().compareAndSet(id, operation.value, replaces, 400, result -> {
             operation.endedMs = mesh.simulator.nowMs();
             operation.outcome = Outcome.of(result);
             onDone.accept(operation);
@@ -228,7 +228,7 @@
         Outcome[] outcome = new Outcome[1];
         // Whoever lives may be asked.
         ControllerNode at = mesh.controllers.values().iterator().next();
-        at.registerProposer.compareAndSet(id, value, replaces, 1500, r -> outcome[0] = Outcome.of(r));
+        at.registerProposer().compareAndSet(id, value, replaces, 1500, r -> outcome[0] = Outcome.of(r));
         for (int i = 0; i < 100 && outcome[0] == null; i++) {
             mesh.simulator.run(20);
         }
@@ -275,10 +275,10 @@
             assertTrue(
                     mesh.controllers
                             .get(SimulatedMesh.controllerPeer(lostIndex))
-                            .registers
+                            .registers()
                             .isSynced(),
                     "the new voter has read them");
-            assertEquals(3, mesh.leader().raft.voters().size());
+            assertEquals(3, mesh.leader().raft().voters().size());
         }
         for (int i = 0; i < 8; i++) {
             assertEquals(Outcome.CONFLICT, setAndAwait(i + "/k", "second " + i, null));
@@ -293,12 +293,14 @@
         mesh.controllers.values().forEach(controller -> {
             long messagesBefore = mesh.simulator.messageCount;
             boolean[] isWon = new boolean[1];
-            controller.registerProposer.compareAndSet(
-                    "5/k" + mesh.controllers.size() + controller.raft.localId(),
-                    "a",
-                    null,
-                    400,
-                    r -> isWon[0] = r instanceof RegisterResult.Chosen);
+            controller
+                    .registerProposer()
+                    .compareAndSet(
+                            "5/k" + mesh.controllers.size() + controller.raft().localId(),
+                            "a",
+                            null,
+                            400,
+                            r -> isWon[0] = r instanceof RegisterResult.Chosen);
             mesh.simulator.run(60);
             assertTrue(isWon[0]);
             minMessages[0] = Math.min(minMessages[0], mesh.simulator.messageCount - messagesBefore);
@@ -308,6 +310,6 @@
         mesh.simulator.run(100_000);
         mesh.controllers
                 .values()
-                .forEach(controller -> assertEquals(0, controller.registers.registerCount(), "forgotten"));
+                .forEach(controller -> assertEquals(0, controller.registers().registerCount(), "forgotten"));
     }
 }
--- a/src/test/java/bramblespool/coordination/register/RegisterProposerTest.java
+++ b/src/test/java/bramblespool/coordination/register/RegisterProposerTest.java
@@ -89,8 +89,9 @@
     @Test
     void setIfAbsentAndReadKeepTheNewestAcceptedValue() {
         proposer.setIfAbsent(otherId, "v", 1000, results::add);
-        reply(expectCalls(new Prepare(otherId, number(1, 1)))
-                .get(0), new AcceptorReply(true, 1, ProposalNumber.unprepared(1, SECOND), "theirs"));
+        reply(
+                expectCalls(new Prepare(otherId, number(1, 1))).get(0),
+                new AcceptorReply(true, 1, ProposalNumber.unprepared(1, SECOND), "theirs"));
         reply(expectCalls(new Accept(otherId, number(1, 1), "theirs")).get(0), GRANTED);
         String emptyId = otherId + "2";
         proposer.read(emptyId, 1000, results::add);
--- a/src/test/java/bramblespool/coordination/register/RegisterSynchronizerTest.java
+++ b/src/test/java/bramblespool/coordination/register/RegisterSynchronizerTest.java
@@ -8,8 +8,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.testing.FakeTransport.Call;
 import bramblespool.state.DurableStore.StoredRegister;
+import bramblespool.testing.FakeTransport.Call;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
