--- a/src/test/java/bramblespool/sim/SimMesh.java
+++ b/src/test/java/bramblespool/sim/SimMesh.java
@@ -7,6 +7,7 @@
 import bramblespool.state.Config;
 import bramblespool.state.Log;
 import bramblespool.state.Settings;
+import bramblespool.state.Vault;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -144,13 +145,23 @@
     }
 
     public void startHelm(String peer, boolean bootstrap) {
+        startHelm(peer, bootstrap, world.machine(peer).disk);
+    }
+
+    /** Starts a helm whose disk is no simulated one. */
+    public HelmCore startHelm(String peer, Vault vault) {
+        return startHelm(peer, false, vault);
+    }
+
+    private HelmCore startHelm(String peer, boolean bootstrap, Vault vault) {
         SimWorld.Machine m = world.machine(peer);
         m.boot();
-        HelmCore h = new HelmCore(settings(peer, seeds, bootstrap), m.disk, "i" + ++incarnations, m, m,
+        HelmCore h = new HelmCore(settings(peer, seeds, bootstrap), vault, "i" + ++incarnations, m, m,
                 platform == null ? null : platform.seenBy(m), Log.silent());
         m.serve(h);
         helms.put(peer, h);
         h.start();
+        return h;
     }
 
     public void killHelm(String peer, boolean power) {
