--- a/src/test/java/bramblespool/testing/SimulatedMesh.java
+++ b/src/test/java/bramblespool/testing/SimulatedMesh.java
@@ -4,6 +4,7 @@
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.protocol.Heartbeat;
 import bramblespool.protocol.OperatorRequest;
+import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.Settings;
@@ -174,11 +175,20 @@
     }
 
     public void startController(String peer, boolean isBootstrap) {
+        startController(peer, isBootstrap, simulator.machine(peer).disk);
+    }
+
+    /** Starts a controller on a store other than its simulated disk. */
+    public ControllerNode startController(String peer, DurableStore durableStore) {
+        return startController(peer, false, durableStore);
+    }
+
+    private ControllerNode startController(String peer, boolean isBootstrap, DurableStore durableStore) {
         Simulator.Machine machine = simulator.machine(peer);
         machine.boot();
         ControllerNode controller = new ControllerNode(
                 settings(peer, seedAddresses, isBootstrap),
-                machine.disk,
+                durableStore,
                 "i" + ++incarnationCount,
                 machine,
                 machine,
@@ -187,6 +197,7 @@
         machine.serve(controller);
         controllers.put(peer, controller);
         controller.start();
+        return controller;
     }
 
     public void killController(String peer, boolean losesPower) {
