--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -2,65 +2,54 @@
 
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
-import bramblespool.state.CompressedDocument;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.Clock;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.google.gson.JsonObject;
 import java.util.ArrayDeque;
 import java.util.HashSet;
+import java.util.Optional;
 import java.util.Set;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The leader's side of the shadow commit: one change at a time through the four phases. */
+/**
+ * The leader's part in the shadow commit: takes operators' changes, one at a time, through the phases of
+ * {@link CommitPhase} ("Shadow Configuration as a Network Management Primitive", sections 6.2 and 6.3).
+ *
+ * <p>Departures from the paper (docs/design.md, docs/control.md): candidate, decision and the last two phases are entries
+ * in the controllers' log, so that a new leader takes the commit up. The decision, after phase 1, is the point of no
+ * return: the operator is answered then, and nothing is rolled back. A proxy that does not acknowledge phase 1 aborts only
+ * the first attempt; the second goes on without it, and it takes the decided version by gossip.
+ *
+ * <p>Confined to the event loop. Each change is answered once, unless this controller loses leadership while it aborts the
+ * change.
+ */
 public final class ShadowCommitCoordinator {
-    /** Carries one phase to the wefts through their cells; the answer lists who acknowledged and who refused. */
-    public interface PhaseSender {
-        void sendPhase(ObjectNode message, Set<String> proxies, long timeoutMs, Consumer<Acknowledgements> callback);
-    }
-
-    public record Acknowledgements(Set<String> confirmed, Set<String> rejected) {}
-
-    /** Milliseconds, ratios to {@code ack} and {@code apply}. */
-    public record PhaseTimeouts(long distributeMs, long phaseMs, long latencyMs) {
-        /** A third of what the operator allows for each route: the document travels over narrow links, twice if need be. */
-        private static final long MS_PER_ROUTE = 1;
-
-        long distributeTimeoutMs(RoutingConfiguration configuration) {
-            return distributeMs + configuration.routeCount * MS_PER_ROUTE;
-        }
-
-        public static PhaseTimeouts of(long ackMs, long applyMs) {
-            return new PhaseTimeouts(ackMs * 6 / 100, applyMs * 8 / 100, applyMs / 50);
-        }
-    }
-
-    private record PendingChange(
-            OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> callback) {}
-
-    private static final int MAX_ATTEMPTS = 2;
-
     private final RaftNode raft;
     private final ReplicatedState replicatedState;
-    private final PhaseSender phaseSender;
     private final Supplier<Set<String>> members;
     private final Clock clock;
     private final PhaseTimeouts timeouts;
     private final EventLog log;
+    private final CommitLog commitLog;
+    private final PhaseRunner phaseRunner;
+    private final CandidateFactory candidates;
+    private final LeadershipGuard leadership = new LeadershipGuard();
     private final ArrayDeque<PendingChange> pendingChanges = new ArrayDeque<>();
     private boolean isBusy;
-    private long leadershipGeneration;
-    /** Numbers what is said to the wefts: of what this leader says the later holds. */
-    private long messageRound;
-
-    private RoutingConfiguration compiledConfiguration;
     private Set<String> unconfirmed = new HashSet<>();
 
+    /** The phases after the decision: which version, which proxies take part, and who missed SWAP or MARK SHADOW BIT. */
+    private record DecidedCommit(long epoch, Set<String> proxies, Set<String> unresponsive) {
+        private DecidedCommit(long epoch, Set<String> proxies) {
+            this(epoch, proxies, new HashSet<>());
+        }
+    }
+
+    /** @param members the nodes of all proxies that have a session, as a set of the caller's own */
     public ShadowCommitCoordinator(
             RaftNode raft,
             ReplicatedState replicatedState,
@@ -71,61 +60,64 @@
             EventLog log) {
         this.raft = raft;
         this.replicatedState = replicatedState;
-        this.phaseSender = phaseSender;
         this.members = members;
         this.clock = clock;
         this.timeouts = timeouts;
         this.log = log;
+        this.commitLog = new CommitLog(raft);
+        this.phaseRunner = new PhaseRunner(raft::currentTerm, replicatedState, phaseSender, timeouts);
+        this.candidates = new CandidateFactory(replicatedState);
     }
 
+    /** Proxies that have not confirmed the version in force, as far as this leader knows. */
     public Set<String> unconfirmed() {
         return unconfirmed;
     }
 
-    /** Takes up, as the new leader, what the last one left. */
+    /** Begins or ends this controller's leadership. A new leader first finishes what the last one left. */
     public void onLeadershipChanged(boolean isLeader) {
-        leadershipGeneration++;
+        leadership.onLeadershipChanged();
         isBusy = false;
-        if (!isLeader) {
-            while (!pendingChanges.isEmpty()) {
-                pendingChanges.poll().callback.accept(OperatorRequest.Result.unknown("no longer the leader"));
-            }
+        if (isLeader) {
+            recover();
             return;
         }
-        if (replicatedState.candidate() != null) {
-            isBusy = true;
-            abort(
-                    replicatedState.candidate().epoch(),
-                    RoutingConfiguration.stampOf(replicatedState.candidate().compressedDocument()),
-                    "left by the last leader",
-                    this::resume);
-        } else {
-            resume();
+        while (!pendingChanges.isEmpty()) {
+            pendingChanges.poll().complete(new ChangeOutcome.LeadershipLost());
         }
     }
 
-    private void resume() {
-        if (replicatedState.current().epoch() > 0 && replicatedState.phase() != ReplicatedState.Phase.MARKED) {
-            isBusy = true;
-            log.log(
-                    Event.COMMIT_RECOVERED,
-                    "epoch",
-                    replicatedState.current().epoch(),
-                    "phase",
-                    replicatedState.phase());
-            sendTagPacket(replicatedState.current().epoch(), members.get());
-        } else {
-            startNext();
+    /** Takes up the commit that the last leader left, then the changes that came meanwhile. */
+    private void recover() {
+        switch (RecoveryAction.of(replicatedState)) {
+            case ABORT_CANDIDATE -> {
+                isBusy = true;
+                ReplicatedState.Version candidate = replicatedState.candidate();
+                String stamp = RoutingConfiguration.stampOf(candidate.compressedDocument());
+                abort(candidate.epoch(), stamp, "left by the last leader", this::recover);
+            }
+            case FINISH_COMMIT -> {
+                isBusy = true;
+                long epoch = replicatedState.current().epoch();
+                log.log(Event.COMMIT_RECOVERED, "epoch", epoch, "phase", replicatedState.phase());
+                runPhase(CommitPhase.TAG_PACKET, new DecidedCommit(epoch, members.get()));
+            }
+            case NONE -> startNext();
         }
     }
 
-    public void submit(OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> callback) {
+    /**
+     * Takes a change. It is answered when it is decided; a repeat of a change that is in force is answered at once.
+     *
+     * @param callback takes the outcome
+     */
+    public void submit(OperatorRequest.ConfigurationChange change, Consumer<ChangeOutcome> callback) {
         PendingChange pending = new PendingChange(change, callback);
         if (replicatedState.isCommitted(change.digest())) {
             // A repeat need not wait for those before it.
-            confirmAndAnswer(
+            confirmAndComplete(
                     pending,
-                    OperatorRequest.Result.accepted(replicatedState.current().epoch()));
+                    new ChangeOutcome.Committed(replicatedState.current().epoch()));
             return;
         }
         pendingChanges.add(pending);
@@ -137,267 +129,165 @@
     private void startNext() {
         isBusy = false;
         while (!isBusy && !pendingChanges.isEmpty()) {
-            proposeCandidate(pendingChanges.poll());
+            start(pendingChanges.poll());
         }
     }
 
-    private void proposeCandidate(PendingChange pending) {
-        OperatorRequest.ConfigurationChange change = pending.change;
-        OperatorRequest.Result outcome = knownOutcome(change);
-        if (outcome != null) {
-            confirmAndAnswer(pending, outcome);
-            return;
-        }
-        RoutingConfiguration configuration;
-        try {
-            JsonObject document = change.applyTo(currentConfiguration());
-            configuration = RoutingConfiguration.compile(document, CompressedDocument.compress(document.toString()));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
-            confirmAndAnswer(pending, OperatorRequest.Result.invalid(e.getMessage()));
-            return;
-        }
-        if (configuration.epoch <= replicatedState.current().epoch()) {
-            confirmAndAnswer(
-                    pending,
-                    OperatorRequest.Result.invalid(
-                            "epoch: must be above " + replicatedState.current().epoch()));
+    private void start(PendingChange pending) {
+        CandidateFactory.Evaluation evaluation = candidates.evaluate(pending.change());
+        if (evaluation instanceof CandidateFactory.Decided decided) {
+            confirmAndComplete(pending, decided.outcome());
             return;
         }
+        RoutingConfiguration candidate = ((CandidateFactory.Candidate) evaluation).configuration();
         isBusy = true;
-        long generation = leadershipGeneration;
-        ObjectNode e = ReplicatedState.entry("candidate")
-                .put("epoch", configuration.epoch)
-                .put("base", change.baseVersion())
-                .put("digest", change.digest())
-                .put("doc", configuration.compressedDocument);
-        raft.propose(e, ok -> {
-            if (!ok || generation != leadershipGeneration) {
-                pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
+        BooleanSupplier isStillLeading = leadership.currentLeadership();
+        commitLog.storeCandidate(pending.change(), candidate, isStored -> {
+            if (!isStored || !isStillLeading.getAsBoolean()) {
+                pending.complete(new ChangeOutcome.LeadershipLost());
                 return;
             }
-            log.log(Event.CONFIGURATION_CANDIDATE_STORED, "epoch", configuration.epoch, "base", change.baseVersion());
-            compiledConfiguration = configuration;
-            distribute(pending, configuration, members.get(), MAX_ATTEMPTS);
+            log.log(
+                    Event.CONFIGURATION_CANDIDATE_STORED,
+                    "epoch",
+                    candidate.epoch,
+                    "base",
+                    pending.change().baseVersion());
+            candidates.onCandidateStored(candidate);
+            distribute(pending, candidate, members.get(), CommitPhase.TAG_DISTRIBUTION.maxAttempts());
         });
     }
 
     /**
-     * An answer that says what is decided. It holds for the moment when it was worked out, if a majority of this term has
-     * confirmed since that nobody else leads; else there is none, for another leader may have decided more.
+     * Answers what is decided behind a read barrier: the answer holds for the moment at which it was worked out if a
+     * majority of this term has confirmed since then that nobody else leads. Otherwise another leader may have decided
+     * more, and the outcome is unknown.
      */
-    private void confirmAndAnswer(PendingChange pending, OperatorRequest.Result outcome) {
-        raft.confirmLeadership(ok -> {
-            if (!ok) {
-                log.log(Event.QUORUM_UNCONFIRMED, "status", outcome.status(), "cause", outcome.message());
-                pending.callback.accept(OperatorRequest.Result.unknown("no majority confirms it"));
+    private void confirmAndComplete(PendingChange pending, ChangeOutcome outcome) {
+        raft.confirmLeadership(isConfirmed -> {
+            OperatorRequest.Result result = outcome.toResult();
+            if (!isConfirmed) {
+                log.log(Event.QUORUM_UNCONFIRMED, "status", result.status(), "cause", result.message());
+                pending.complete(new ChangeOutcome.NoMajority());
                 return;
             }
-            if (outcome.status() != 200) {
-                log.log(Event.CONFIGURATION_REJECTED, "status", outcome.status(), "cause", outcome.message());
+            if (!(outcome instanceof ChangeOutcome.Committed)) {
+                log.log(Event.CONFIGURATION_REJECTED, "status", result.status(), "cause", result.message());
             }
-            pending.callback.accept(outcome);
+            pending.complete(outcome);
         });
     }
 
-    /** What waits and can't come to anything more hears so now, not after the phases that are left. */
-    private void answerDecidedChanges() {
+    /** Changes in the queue that cannot be committed any more are answered now, not after the phases that are left. */
+    private void completeDecidedChanges() {
         pendingChanges.removeIf(pending -> {
-            OperatorRequest.Result outcome = knownOutcome(pending.change);
-            if (outcome != null) {
-                confirmAndAnswer(pending, outcome);
-            }
-            return outcome != null;
+            Optional<ChangeOutcome> outcome = candidates.decidedOutcome(pending.change());
+            outcome.ifPresent(decided -> confirmAndComplete(pending, decided));
+            return outcome.isPresent();
         });
     }
 
-    /** What has been decided on a change already: it was taken, or another version is in force; null where it may yet win. */
-    private OperatorRequest.Result knownOutcome(OperatorRequest.ConfigurationChange change) {
-        long epoch = replicatedState.current().epoch();
-        return replicatedState.isCommitted(change.digest())
-                ? OperatorRequest.Result.accepted(epoch)
-                : change.baseVersion() != epoch ? OperatorRequest.Result.versionConflict(epoch) : null;
-    }
-
-    private RoutingConfiguration currentConfiguration() throws RoutingConfiguration.InvalidConfigurationException {
-        ReplicatedState.Version version = replicatedState.current();
-        if (version.compressedDocument() == null) {
-            return null;
-        }
-        if (compiledConfiguration == null || compiledConfiguration.epoch != version.epoch()) {
-            compiledConfiguration = RoutingConfiguration.compileCompressed(version.compressedDocument());
-        }
-        return compiledConfiguration;
-    }
-
-    private ObjectNode phaseMessage(int phase, long oldEpoch, long newEpoch, String stamp) {
-        return JsonNodeFactory.instance
-                .objectNode()
-                .put("phase", phase)
-                .put("term", raft.currentTerm())
-                .put("round", ++messageRound)
-                .put("old", oldEpoch)
-                .put("new", newEpoch)
-                .put("stamp", stamp);
-    }
-
-    /** Phase 1, TAG DISTRIBUTION: the candidate and its tags. A missing acknowledgement aborts this try. */
+    /** Phase 1, TAG DISTRIBUTION. Where acknowledgements are missing it is aborted, and once attempted without them. */
     private void distribute(
-            PendingChange pending, RoutingConfiguration configuration, Set<String> proxies, int attemptsLeft) {
-        long generation = leadershipGeneration;
-        long timeoutMs = timeouts.distributeTimeoutMs(configuration);
-        ObjectNode message = phaseMessage(
-                        1, replicatedState.current().epoch(), configuration.epoch, configuration.stamp)
-                .put("open", timeoutMs * attemptsLeft)
-                .put("doc", configuration.compressedDocument);
-        phaseSender.sendPhase(message, proxies, timeoutMs, acknowledgements -> {
-            if (generation != leadershipGeneration) {
-                pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
+            PendingChange pending, RoutingConfiguration candidate, Set<String> proxies, int attemptsLeft) {
+        BooleanSupplier isStillLeading = leadership.currentLeadership();
+        phaseRunner.distribute(candidate, proxies, attemptsLeft, acknowledgements -> {
+            if (!isStillLeading.getAsBoolean()) {
+                pending.complete(new ChangeOutcome.LeadershipLost());
                 return;
             }
-            if (!acknowledgements.rejected.isEmpty()) {
-                abort(configuration.epoch, configuration.stamp, "refused by " + acknowledgements.rejected, () -> {
-                    pending.callback.accept(OperatorRequest.Result.unknown("refused by " + acknowledgements.rejected));
-                    startNext();
-                });
+            if (!acknowledgements.rejected().isEmpty()) {
+                rejectCandidate(pending, candidate, new ChangeOutcome.RejectedByProxies(acknowledgements.rejected()));
                 return;
             }
-            Set<String> unresponsive = new HashSet<>(proxies);
-            unresponsive.removeAll(acknowledgements.confirmed);
-            if (unresponsive.isEmpty()) {
-                decide(pending, configuration, acknowledgements.confirmed);
-                return;
+            Set<String> confirmed = acknowledgements.confirmed();
+            Set<String> unresponsive = acknowledgements.unconfirmedOf(proxies);
+            if (!unresponsive.isEmpty()) {
+                log.log(Event.COMMIT_UNCONFIRMED, "epoch", candidate.epoch, "proxies", unresponsive);
             }
-            // The try without the silent ones: the others go back first, then the tags are given out anew.
-            log.log(Event.COMMIT_UNCONFIRMED, "epoch", configuration.epoch, "proxies", unresponsive);
-            if (attemptsLeft <= 1) {
-                decide(pending, configuration, acknowledgements.confirmed);
+            if (unresponsive.isEmpty() || attemptsLeft <= 1) {
+                decide(pending, candidate, confirmed);
                 return;
             }
-            phaseSender.sendPhase(
-                    phaseMessage(0, replicatedState.current().epoch(), configuration.epoch, configuration.stamp),
-                    acknowledgements.confirmed,
-                    timeouts.phaseMs,
-                    ignored -> {
-                        if (generation == leadershipGeneration) {
-                            distribute(pending, configuration, acknowledgements.confirmed, attemptsLeft - 1);
-                        } else {
-                            pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
-                        }
-                    });
+            phaseRunner.abort(candidate.epoch, candidate.stamp, confirmed, () -> {
+                if (isStillLeading.getAsBoolean()) {
+                    distribute(pending, candidate, confirmed, attemptsLeft - 1);
+                } else {
+                    pending.complete(new ChangeOutcome.LeadershipLost());
+                }
+            });
+        });
+    }
+
+    private void rejectCandidate(
+            PendingChange pending, RoutingConfiguration candidate, ChangeOutcome.RejectedByProxies outcome) {
+        abort(candidate.epoch, candidate.stamp, outcome.reason(), () -> {
+            pending.complete(outcome);
+            startNext();
         });
     }
 
+    /** Withdraws a candidate from all proxies and from the log. */
     private void abort(long epoch, String stamp, String reason, Runnable onAborted) {
-        long generation = leadershipGeneration;
+        BooleanSupplier isStillLeading = leadership.currentLeadership();
         log.log(Event.COMMIT_ABORTED, "epoch", epoch, "cause", reason);
-        phaseSender.sendPhase(
-                phaseMessage(0, replicatedState.current().epoch(), epoch, stamp),
-                members.get(),
-                timeouts.phaseMs,
-                ignored -> {});
-        raft.propose(ReplicatedState.entry("abort").put("epoch", epoch), ok -> {
-            if (ok && generation == leadershipGeneration) {
+        phaseRunner.abort(epoch, stamp, members.get(), () -> {});
+        commitLog.abortCandidate(epoch, isCommitted -> {
+            if (isCommitted && isStillLeading.getAsBoolean()) {
                 onAborted.run();
             }
         });
     }
 
-    /** The point of no return. */
-    private void decide(PendingChange pending, RoutingConfiguration configuration, Set<String> confirmed) {
-        long generation = leadershipGeneration;
-        unconfirmed = new HashSet<>(members.get());
+    /** The point of no return: the decision is in the log, and the operator is answered. */
+    private void decide(PendingChange pending, RoutingConfiguration candidate, Set<String> confirmed) {
+        BooleanSupplier isStillLeading = leadership.currentLeadership();
+        unconfirmed = members.get();
         unconfirmed.removeAll(confirmed);
-        raft.propose(ReplicatedState.entry("decide").put("epoch", configuration.epoch), ok -> {
-            if (!ok || !replicatedState.isCommitted(pending.change.digest())) {
-                pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
+        commitLog.decideCandidate(candidate.epoch, isCommitted -> {
+            if (!isCommitted || !replicatedState.isCommitted(pending.change().digest())) {
+                pending.complete(new ChangeOutcome.LeadershipLost());
                 return;
             }
-            log.log(Event.COMMIT_DECIDED, "epoch", configuration.epoch);
-            pending.callback.accept(OperatorRequest.Result.accepted(configuration.epoch));
-            answerDecidedChanges();
-            if (generation == leadershipGeneration) {
-                sendTagPacket(configuration.epoch, confirmed);
+            log.log(Event.COMMIT_DECIDED, "epoch", candidate.epoch);
+            pending.complete(new ChangeOutcome.Committed(candidate.epoch));
+            completeDecidedChanges();
+            if (isStillLeading.getAsBoolean()) {
+                runPhase(CommitPhase.TAG_PACKET, new DecidedCommit(candidate.epoch, confirmed));
             }
         });
     }
 
-    /** Phase 2, TAG PACKET; then one latency bound, so that no call with a bit is under way. */
-    private void sendTagPacket(long epoch, Set<String> proxies) {
-        long generation = leadershipGeneration;
-        runPhase(
-                2,
-                epoch,
-                proxies,
-                MAX_ATTEMPTS,
-                unresponsive -> clock.schedule(timeouts.latencyMs, () -> {
-                    if (generation == leadershipGeneration) {
-                        sendSwap(epoch, proxies);
-                    }
-                }));
-    }
-
-    /** Phase 3, SWAP. */
-    private void sendSwap(long epoch, Set<String> proxies) {
-        long generation = leadershipGeneration;
-        runPhase(
-                3,
-                epoch,
-                proxies,
-                1,
-                unresponsive -> raft.propose(
-                        ReplicatedState.entry("phase")
-                                .put("epoch", epoch)
-                                .put("phase", ReplicatedState.Phase.SWAPPED.name()),
-                        ok -> {
-                            if (ok && generation == leadershipGeneration) {
-                                sendMarkShadowBit(epoch, proxies, unresponsive);
-                            }
-                        }));
+    /** Runs a phase after the decision, then those that follow it. Proxies that stay silent are left unconfirmed. */
+    private void runPhase(CommitPhase phase, DecidedCommit commit) {
+        BooleanSupplier isStillLeading = leadership.currentLeadership();
+        phaseRunner.run(phase, commit.epoch(), commit.proxies(), isStillLeading, unresponsive -> {
+            if (phase == CommitPhase.TAG_PACKET) {
+                // Section 6.2: after the latency bound no call that is marked with the bit is in transit.
+                clock.schedule(timeouts.latencyMs(), () -> runNextPhase(phase, commit, isStillLeading));
+                return;
+            }
+            commit.unresponsive().addAll(unresponsive);
+            ReplicatedState.Phase recorded = phase.recordedAs().orElseThrow();
+            commitLog.recordPhase(commit.epoch(), recorded, isCommitted -> {
+                if (isCommitted) {
+                    runNextPhase(phase, commit, isStillLeading);
+                }
+            });
+        });
     }
 
-    /** Phase 4, MARK SHADOW BIT. */
-    private void sendMarkShadowBit(long epoch, Set<String> proxies, Set<String> unresponsiveAtSwap) {
-        long generation = leadershipGeneration;
-        runPhase(
-                4,
-                epoch,
-                proxies,
-                MAX_ATTEMPTS,
-                unresponsive -> raft.propose(
-                        ReplicatedState.entry("phase")
-                                .put("epoch", epoch)
-                                .put("phase", ReplicatedState.Phase.MARKED.name()),
-                        ok -> {
-                            if (ok && generation == leadershipGeneration) {
-                                unconfirmed = new HashSet<>(members.get());
-                                unconfirmed.removeAll(proxies);
-                                unconfirmed.addAll(unresponsiveAtSwap);
-                                unconfirmed.addAll(unresponsive);
-                                log.log(Event.COMMIT_COMPLETED, "epoch", epoch, "unconfirmed", unconfirmed);
-                                startNext();
-                            }
-                        }));
+    private void runNextPhase(CommitPhase phase, DecidedCommit commit, BooleanSupplier isStillLeading) {
+        if (isStillLeading.getAsBoolean()) {
+            phase.next().ifPresentOrElse(next -> runPhase(next, commit), () -> complete(commit));
+        }
     }
 
-    /** One phase, repeated for those who have not confirmed it; goes on with the silent ones left unconfirmed. */
-    private void runPhase(int phase, long epoch, Set<String> proxies, int attemptsLeft, Consumer<Set<String>> onDone) {
-        long generation = leadershipGeneration;
-        ObjectNode message = phaseMessage(
-                phase,
-                replicatedState.previous().epoch(),
-                epoch,
-                RoutingConfiguration.stampOf(replicatedState.current().compressedDocument()));
-        phaseSender.sendPhase(message, proxies, timeouts.phaseMs, acknowledgements -> {
-            if (generation != leadershipGeneration) {
-                return;
-            }
-            Set<String> unresponsive = new HashSet<>(proxies);
-            unresponsive.removeAll(acknowledgements.confirmed);
-            if (unresponsive.isEmpty() || attemptsLeft <= 1) {
-                onDone.accept(unresponsive);
-            } else {
-                runPhase(phase, epoch, unresponsive, attemptsLeft - 1, onDone);
-            }
-        });
+    private void complete(DecidedCommit commit) {
+        unconfirmed = members.get();
+        unconfirmed.removeAll(commit.proxies());
+        unconfirmed.addAll(commit.unresponsive());
+        log.log(Event.COMMIT_COMPLETED, "epoch", commit.epoch(), "unconfirmed", unconfirmed);
+        startNext();
     }
 }
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
@@ -6,98 +6,147 @@
 import bramblespool.transport.Clock;
 
 /**
- * A weft's side of the shadow commit: two installed versions, a two-entry map saying which is real and which is
- * shadow, the tags of the commit under way, and how calls are marked.
+ * A proxy's part in the shadow commit: two installed versions, a two-entry map that says which of them is real and which
+ * is shadow, the tags of the commit under way, and how calls are marked.
+ *
+ * <p>Source: "Shadow Configuration as a Network Management Primitive", section 7.2 (the translation table), sections 6.2
+ * and 6.3 (phases, and the return to the normal state where no TAG PACKET comes). The marks on calls are those of
+ * docs/design.md: the bit {@code 0} or {@code 1}, or during a commit a {@link VersionTag}.
+ *
+ * <p>The real version's number never goes down while the process runs. Confined to the event loop.
  */
 public final class ShadowCommitParticipant {
-    /** What a mark names here. */
-    public record ResolvedVersion(RoutingConfiguration configuration, boolean isShadow) {}
+    /**
+     * The version that a call's mark names.
+     *
+     * @param configuration the version, or null in {@link #UNKNOWN}
+     * @param isShadow whether the call is a marked test call, which must not reach an application server
+     */
+    public record ResolvedVersion(RoutingConfiguration configuration, boolean isShadow) {
+        /** The mark names no version that is installed here. */
+        static final ResolvedVersion UNKNOWN = new ResolvedVersion(null, false);
+
+        private static ResolvedVersion of(RoutingConfiguration configuration, boolean isShadow) {
+            return configuration == null ? UNKNOWN : new ResolvedVersion(configuration, isShadow);
+        }
+
+        /** Whether the mark names a version that is installed here. */
+        public boolean isKnown() {
+            return configuration != null;
+        }
+    }
+
+    /** What became of a candidate in TAG DISTRIBUTION. */
+    enum CandidateOutcome {
+        /** Candidate and tags are recorded. */
+        RECORDED,
+        /** This document is the real version already. */
+        ALREADY_REAL,
+        /** The candidate builds on a version that is not the real one here. */
+        BEHIND
+    }
+
+    /** The versions that the two tags of the commit under way name. */
+    private record CommitTags(long oldEpoch, long newEpoch) {
+        private static final long NO_EPOCH = -1;
+        private static final CommitTags NONE = new CommitTags(NO_EPOCH, NO_EPOCH);
+
+        private boolean contains(long epoch) {
+            return epoch == oldEpoch || epoch == newEpoch;
+        }
+    }
 
     private static final String REAL_MARK = "0";
     private static final String SHADOW_MARK = "1";
-    /** The stamp of whoever means any document of a number. */
-    private static final String ANY_STAMP = "";
 
     private final Clock clock;
     private final EventLog log;
     private final long revertTimeoutMs;
     private final RoutingConfiguration[] installed = new RoutingConfiguration[2];
-    /** The map: which slot is real; the other is shadow. */
+    /** The map: this entry of {@link #installed} is real, the other one shadow. */
     private int realSlot;
 
-    private long taggedOldEpoch = -1;
-    private long taggedNewEpoch = -1;
-    private boolean isTagging;
-    private boolean isSwapped;
+    private ParticipantState state = ParticipantState.NORMAL;
+    private CommitTags tags = CommitTags.NONE;
     private Clock.Timer revertTimer;
     private Runnable changeListener = () -> {};
 
+    /**
+     * @param revertTimeoutMs how long a recorded candidate waits for TAG PACKET before it is dropped, besides the time
+     *     for which TAG DISTRIBUTION may stay open
+     */
     public ShadowCommitParticipant(Clock clock, long revertTimeoutMs, EventLog log) {
         this.clock = clock;
         this.revertTimeoutMs = revertTimeoutMs;
         this.log = log;
     }
 
+    /** Sets the listener that runs after each change of the real version. */
     public void onChange(Runnable listener) {
         changeListener = listener;
     }
 
+    /** The version in force; null before the first. */
     public RoutingConfiguration realConfiguration() {
         return installed[realSlot];
     }
 
+    /** The other installed version: a candidate, or the version before the real one; null where there is none. */
     public RoutingConfiguration shadowConfiguration() {
         return installed[1 - realSlot];
     }
 
+    /** The number of the version in force; 0 before the first. */
     public long epoch() {
         return realConfiguration() == null ? 0 : realConfiguration().epoch;
     }
 
+    /** Whether calls are marked with tags instead of the shadow bit. */
     public boolean isTagging() {
-        return isTagging;
+        return state.usesTags();
     }
 
-    /** The mark for a call that starts here under the real version. */
+    /** The mark for a call that starts here under the real version, of which there must be one. */
     public String currentMark() {
-        return isTagging ? realConfiguration().tag() : REAL_MARK;
+        return isTagging() ? realConfiguration().tag() : REAL_MARK;
     }
 
-    /** The version that a tag names, or -1 where the mark is no tag. */
-    public static long taggedEpoch(String mark) {
-        if (mark == null || !mark.startsWith("t")) {
-            return -1;
-        }
-        int stampSeparator = mark.indexOf('-');
-        try {
-            return Long.parseLong(mark.substring(1, stampSeparator < 0 ? mark.length() : stampSeparator));
-        } catch (NumberFormatException e) {
-            return -1;
-        }
+    /** Whether the mark is a tag that names a version before the real one. */
+    public boolean isTagOfOlderVersion(String mark) {
+        return VersionTag.parse(mark).filter(tag -> tag.epoch() < epoch()).isPresent();
     }
 
-    /** The version a received mark names, or null where this weft cannot tell. */
+    /**
+     * Finds the version that a received mark names. A tag also counts as TAG PACKET (section 6.2: "indirect triggering").
+     *
+     * @param mark the mark, or null where the call bears none
+     */
     public ResolvedVersion resolve(String mark) {
         if (mark == null) {
-            return null;
+            return ResolvedVersion.UNKNOWN;
         }
         if (mark.equals(REAL_MARK)) {
-            // While tags are in use an untagged call is from a weft that has not had TAG PACKET: it means C_old.
-            RoutingConfiguration configuration =
-                    isTagging && taggedOldEpoch > 0 ? findVersion(taggedOldEpoch, ANY_STAMP) : realConfiguration();
-            return configuration == null ? null : new ResolvedVersion(configuration, false);
+            return ResolvedVersion.of(versionOfRealMark(), false);
         }
         if (mark.equals(SHADOW_MARK)) {
-            return shadowConfiguration() == null ? null : new ResolvedVersion(shadowConfiguration(), true);
+            return ResolvedVersion.of(shadowConfiguration(), true);
         }
-        long epoch = taggedEpoch(mark);
-        int stampSeparator = mark.indexOf('-');
-        RoutingConfiguration configuration =
-                findVersion(epoch, stampSeparator < 0 ? ANY_STAMP : mark.substring(stampSeparator + 1));
-        if (configuration != null && !isTagging && (epoch == taggedOldEpoch || epoch == taggedNewEpoch)) {
-            startTagging(taggedNewEpoch, ANY_STAMP);
+        VersionTag tag = VersionTag.parse(mark).orElse(null);
+        if (tag == null) {
+            return ResolvedVersion.UNKNOWN;
         }
-        return configuration == null ? null : new ResolvedVersion(configuration, false);
+        RoutingConfiguration configuration = findVersion(tag.epoch(), tag.stamp());
+        if (configuration != null && !isTagging() && tags.contains(tag.epoch())) {
+            startTagging(tags.newEpoch(), VersionTag.ANY_STAMP);
+        }
+        return ResolvedVersion.of(configuration, false);
+    }
+
+    /** While tags are in use an untagged call comes from a proxy that has not had TAG PACKET: it means C_old. */
+    private RoutingConfiguration versionOfRealMark() {
+        return isTagging() && tags.oldEpoch() > 0
+                ? findVersion(tags.oldEpoch(), VersionTag.ANY_STAMP)
+                : realConfiguration();
     }
 
     private RoutingConfiguration findVersion(long epoch, String stamp) {
@@ -109,94 +158,106 @@
         return null;
     }
 
-    /** Phase 1, which may stay open so long for others. Answers null when recorded, or why not. */
-    public String prepareCandidate(long oldEpoch, long newEpoch, RoutingConfiguration candidate, long openForMs) {
-        if (realConfiguration() != null && realConfiguration().matches(newEpoch, candidate.stamp)) {
-            return null;
+    /**
+     * Phase 1, TAG DISTRIBUTION: records the candidate and its tags. Without TAG PACKET they are dropped after a time
+     * limit (section 6.3: "soft state").
+     *
+     * @param openForMs how long the phase may stay open for other proxies; added to the time limit
+     */
+    CandidateOutcome recordCandidate(long oldEpoch, long newEpoch, RoutingConfiguration candidate, long openForMs) {
+        if (isReal(newEpoch, candidate.stamp)) {
+            return CandidateOutcome.ALREADY_REAL;
         }
         if (epoch() != oldEpoch) {
-            return "behind";
+            return CandidateOutcome.BEHIND;
         }
         installed[1 - realSlot] = candidate;
-        taggedOldEpoch = oldEpoch;
-        taggedNewEpoch = newEpoch;
-        isTagging = false;
-        isSwapped = false;
+        tags = new CommitTags(oldEpoch, newEpoch);
+        state = state.after(CommitPhase.TAG_DISTRIBUTION);
         cancelRevertTimer();
         revertTimer = clock.schedule(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp));
-        return null;
+        return CandidateOutcome.RECORDED;
     }
 
-    /** No TAG PACKET came, or this candidate's commit was aborted: back to the normal state. Another one's tags stay. */
-    public void revert(long newEpoch, String stamp) {
-        if (isTagging
-                || isSwapped
-                || newEpoch != taggedNewEpoch
-                || shadowConfiguration() == null
-                || !shadowConfiguration().matches(newEpoch, stamp)) {
+    /**
+     * Drops this candidate and returns to the normal state, where no TAG PACKET came or the commit was aborted (section
+     * 6.3). Another candidate's tags stay, and after TAG PACKET nothing is dropped any more.
+     */
+    void revert(long newEpoch, String stamp) {
+        if (state != ParticipantState.TAGS_RECORDED || newEpoch != tags.newEpoch() || !isShadow(newEpoch, stamp)) {
             return;
         }
-        log.log(Event.SHADOW_REVERTED, "epoch", taggedNewEpoch);
-        taggedOldEpoch = -1;
-        taggedNewEpoch = -1;
+        log.log(Event.SHADOW_REVERTED, "epoch", newEpoch);
+        state = state.after(CommitPhase.ABORT);
+        tags = CommitTags.NONE;
         cancelRevertTimer();
     }
 
-    /** Phase 2: calls are marked with tags from now on. */
-    public boolean startTagging(long newEpoch, String stamp) {
-        if (newEpoch != taggedNewEpoch || findVersion(newEpoch, stamp) == null) {
-            return realConfiguration() != null && realConfiguration().matches(newEpoch, stamp);
+    /**
+     * Phase 2, TAG PACKET: calls are marked with tags from now on.
+     *
+     * @return whether that holds for this document, or it is real already
+     */
+    boolean startTagging(long newEpoch, String stamp) {
+        if (newEpoch != tags.newEpoch() || findVersion(newEpoch, stamp) == null) {
+            return isReal(newEpoch, stamp);
         }
         cancelRevertTimer();
-        isTagging = true;
+        state = state.after(CommitPhase.TAG_PACKET);
         return true;
     }
 
-    /** Phase 3: the map's entries are exchanged; the tags stay with their versions. */
-    public boolean swap(long newEpoch, String stamp) {
+    /**
+     * Phase 3, SWAP: the entries of the map are exchanged. The tags stay with their versions (section 6.2).
+     *
+     * @return whether this document is real now
+     */
+    boolean swap(long newEpoch, String stamp) {
         if (epoch() == newEpoch) {
-            return realConfiguration().matches(newEpoch, stamp);
+            return isReal(newEpoch, stamp);
         }
-        if (newEpoch != taggedNewEpoch
-                || shadowConfiguration() == null
-                || !shadowConfiguration().matches(newEpoch, stamp)) {
+        if (newEpoch != tags.newEpoch() || !isShadow(newEpoch, stamp)) {
             return false;
         }
         cancelRevertTimer();
-        realSlot = 1 - realSlot;
-        isTagging = true;
-        isSwapped = true;
+        exchangeEntries();
         log.log(Event.CONFIGURATION_ADOPTED, "epoch", newEpoch, "trigger", "swap");
         changeListener.run();
         return true;
     }
 
-    /** Phase 4: back to the bit. The tags of a commit that has begun since stay. */
+    /**
+     * Phase 4, MARK SHADOW BIT: calls are marked with the bit again, and the tags are forgotten (section 6.1). The tags
+     * of a commit that has begun since stay.
+     *
+     * @return whether this document is real
+     */
     public boolean markShadowBit(long newEpoch, String stamp) {
-        if (realConfiguration() == null || !realConfiguration().matches(newEpoch, stamp)) {
+        if (!isReal(newEpoch, stamp)) {
             return false;
         }
-        if (taggedNewEpoch == newEpoch) {
-            isTagging = false;
-            isSwapped = false;
-            taggedOldEpoch = -1;
-            taggedNewEpoch = -1;
+        if (tags.newEpoch() == newEpoch) {
+            state = state.after(CommitPhase.MARK_SHADOW_BIT);
+            tags = CommitTags.NONE;
         }
         return true;
     }
 
-    /** A decided version taken directly by a weft that missed its commit. Never goes back. */
+    /**
+     * Makes a decided version real without the phases, for a proxy that missed its commit. A version that is not above
+     * the real one is ignored.
+     *
+     * @param isMarked whether the version's commit is over, so that no tags are needed
+     */
     public void adopt(RoutingConfiguration decided, boolean isMarked) {
         if (decided.epoch <= epoch()) {
             return;
         }
         cancelRevertTimer();
         installed[1 - realSlot] = decided;
-        realSlot = 1 - realSlot;
-        taggedOldEpoch = shadowConfiguration() == null ? -1 : shadowConfiguration().epoch;
-        taggedNewEpoch = decided.epoch;
-        isTagging = true;
-        isSwapped = true;
+        exchangeEntries();
+        long oldEpoch = shadowConfiguration() == null ? CommitTags.NO_EPOCH : shadowConfiguration().epoch;
+        tags = new CommitTags(oldEpoch, decided.epoch);
         if (isMarked) {
             markShadowBit(decided.epoch, decided.stamp);
         }
@@ -204,6 +265,19 @@
         changeListener.run();
     }
 
+    private void exchangeEntries() {
+        realSlot = 1 - realSlot;
+        state = state.after(CommitPhase.SWAP);
+    }
+
+    private boolean isReal(long epoch, String stamp) {
+        return realConfiguration() != null && realConfiguration().matches(epoch, stamp);
+    }
+
+    private boolean isShadow(long epoch, String stamp) {
+        return shadowConfiguration() != null && shadowConfiguration().matches(epoch, stamp);
+    }
+
     private void cancelRevertTimer() {
         if (revertTimer != null) {
             revertTimer.cancel();
--- a/src/main/java/bramblespool/coordination/configuration/TermGuard.java
+++ b/src/main/java/bramblespool/coordination/configuration/TermGuard.java
@@ -2,11 +2,13 @@
 
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
-import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The highest term that this daemon has heard of a leader in, and the last round of phases of that leader's. What was said
- * in a lower term, or in an earlier round, is late and refused: whoever leads now says what holds.
+ * Refuses the phases of deposed leaders and late phases of the present one.
+ *
+ * <p>It keeps the highest Raft term in which this process knows of a leader, and the last round of that leader's phase
+ * messages. A message of a lower term, or of an earlier round, is stale: the present leader has gone on without it
+ * (docs/control.md, section 1). Confined to the event loop.
  */
 public final class TermGuard {
     private final EventLog log;
@@ -17,11 +19,12 @@
         this.log = log;
     }
 
+    /** The highest term in which a leader is known; 0 before the first. */
     public long highestTerm() {
         return highestTerm;
     }
 
-    /** Somebody has led in this term. */
+    /** Records that a leader was elected in this term; a lower term than the highest known changes nothing. */
     public void observeTerm(long term) {
         if (term > highestTerm) {
             highestTerm = term;
@@ -29,38 +32,41 @@
         }
     }
 
-    /** Takes note of what a leader says; false where that is late. */
-    public boolean acceptMessage(String kind, JsonNode request) {
-        long term = request.path("term").asLong();
-        long messageRound = request.path("round").asLong();
-        observeTerm(term);
-        if (term < highestTerm) {
+    /**
+     * Records the term and round of a phase message.
+     *
+     * @param kind the message's kind, for the log
+     * @return whether the message is current; a stale one must not be acted on
+     */
+    boolean accept(String kind, PhaseMessage message) {
+        observeTerm(message.term());
+        if (message.term() < highestTerm) {
             log.log(
                     Event.STALE_TERM_REJECTED,
                     "kind",
                     kind,
                     "phase",
-                    request.path("phase").asInt(),
+                    message.phase().wireNumber(),
                     "term",
-                    term,
+                    message.term(),
                     "knownTerm",
                     highestTerm);
             return false;
         }
-        if (messageRound < lastRound) {
+        if (message.round() < lastRound) {
             log.log(
                     Event.STALE_ROUND_REJECTED,
                     "kind",
                     kind,
                     "phase",
-                    request.path("phase").asInt(),
+                    message.phase().wireNumber(),
                     "round",
-                    messageRound,
+                    message.round(),
                     "knownRound",
                     lastRound);
             return false;
         }
-        lastRound = messageRound;
+        lastRound = message.round();
         return true;
     }
 }
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -1,5 +1,10 @@
 package bramblespool.coordination.controller;
 
+import bramblespool.coordination.configuration.PhaseCodec;
+import bramblespool.coordination.configuration.PhaseDispatcher;
+import bramblespool.coordination.configuration.PhaseRelay;
+import bramblespool.coordination.configuration.PhaseTimeouts;
+import bramblespool.coordination.configuration.PingCodec;
 import bramblespool.coordination.configuration.ShadowCommitCoordinator;
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.RegistryReader;
@@ -37,9 +42,9 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -96,7 +101,7 @@
     private final UsageReporter usageReporter;
 
     private boolean isAnnouncedAsVoter;
-    private final TermGuard termGuard;
+    private final PhaseRelay phaseRelay;
     /** Owners of slices that did not answer, and when. */
     private final Map<String, Long> unresponsiveSinceMs = new HashMap<>();
 
@@ -130,7 +135,6 @@
         this.log = log;
         Settings.Bounds bounds = settings.bounds();
         this.callTimeoutMs = bounds.quietPeriodMs() / CALL_TIMEOUT_DIVISOR;
-        this.termGuard = new TermGuard(log);
         this.gossip = new GossipStore(
                 clock,
                 transport,
@@ -208,13 +212,15 @@
                 this,
                 RaftTimeouts.of(bounds.quietPeriodMs(), bounds.catchUpMs()),
                 log);
+        this.phaseRelay = new PhaseRelay(transport, new TermGuard(log), raft::leaderTerm, this::openSessionAddress);
         this.commitCoordinator = new ShadowCommitCoordinator(
                 raft,
                 replicatedState,
-                this::runPhase,
+                new PhaseDispatcher(
+                        transport, settings.peerAddress(), phaseRelay, this::controllerOfProxy, raft::observeTerm),
                 () -> new HashSet<>(members),
                 clock,
-                ShadowCommitCoordinator.PhaseTimeouts.of(bounds.acknowledgementMs(), bounds.applyMs()),
+                PhaseTimeouts.of(bounds.acknowledgementMs(), bounds.applyMs()),
                 log);
         if (platform != null && settings.discovery() == Settings.Discovery.PLATFORM) {
             for (String zone : settings.zones().keySet()) {
@@ -614,106 +620,16 @@
         });
     }
 
-    // ---- phases, through the cells
+    // ---- phases, by way of the zone controllers
 
-    private void runPhase(
-            ObjectNode message,
-            Set<String> proxies,
-            long timeoutMs,
-            Consumer<ShadowCommitCoordinator.Acknowledgements> callback) {
-        ShadowCommitCoordinator.Acknowledgements acknowledgements =
-                new ShadowCommitCoordinator.Acknowledgements(new HashSet<>(), new HashSet<>());
-        if (proxies.isEmpty()) {
-            callback.accept(acknowledgements);
-            return;
-        }
-        Map<String, Set<String>> proxiesByController = new HashMap<>();
-        for (String proxy : proxies) {
-            GossipStore.GossipEntry entry = gossip.get(GossipKeys.SESSION_KEY_PREFIX + proxy);
-            if (entry != null) {
-                proxiesByController
-                        .computeIfAbsent(entry.body().path("helm").asText(), k -> new LinkedHashSet<>())
-                        .add(proxy);
-            }
-        }
-        int[] pending = {proxiesByController.size()};
-        boolean[] isFinished = {false};
-        Runnable finish = () -> {
-            if (!isFinished[0]) {
-                isFinished[0] = true;
-                callback.accept(acknowledgements);
-            }
-        };
-        Consumer<JsonNode> onResponse = response -> {
-            if (response != null) {
-                response.path("ok").forEach(n -> acknowledgements.confirmed().add(n.asText()));
-                response.path("refused")
-                        .forEach(n -> acknowledgements.rejected().add(n.asText()));
-                raft.observeTerm(response.path("term").asLong());
-            }
-            if (--pending[0] == 0) {
-                finish.run();
-            }
-        };
-        proxiesByController.forEach((controller, proxyNodes) -> {
-            ObjectNode controllerMessage = message.deepCopy();
-            ArrayNode proxyList = controllerMessage.putArray("wefts");
-            proxyNodes.forEach(proxyList::add);
-            controllerMessage.put("within", timeoutMs * 4 / 5);
-            if (controller.equals(settings.peerAddress())) {
-                relayPhase(controllerMessage, onResponse::accept);
-            } else {
-                transport.call(controller, "cell", controllerMessage, timeoutMs, onResponse);
-            }
-        });
+    private Optional<String> openSessionAddress(String node) {
+        Session session = sessions.get(node);
+        return session != null && session.isOpen ? Optional.of(session.peerAddress) : Optional.empty();
     }
 
-    /** The cell's part: hands the phase to its wefts and gathers their answers. */
-    private void relayPhase(JsonNode request, Consumer<ObjectNode> callback) {
-        ObjectNode response = JsonNodeFactory.instance.objectNode();
-        ArrayNode confirmed = response.putArray("ok");
-        ArrayNode rejected = response.putArray("refused");
-        termGuard.observeTerm(raft.leaderTerm());
-        if (!termGuard.acceptMessage("cell", request)) {
-            callback.accept(response.put("term", termGuard.highestTerm()));
-            return;
-        }
-        ObjectNode phaseMessage = ((ObjectNode) request).deepCopy();
-        phaseMessage.remove(List.of("wefts", "within"));
-        int[] pending = {1};
-        Runnable onResponse = () -> {
-            if (--pending[0] == 0) {
-                callback.accept(response);
-            }
-        };
-        for (JsonNode proxy : request.path("wefts")) {
-            Session session = sessions.get(proxy.asText());
-            if (session == null || !session.isOpen) {
-                continue;
-            }
-            pending[0]++;
-            transport.call(
-                    session.peerAddress,
-                    "phase",
-                    phaseMessage,
-                    request.path("within").asLong(),
-                    proxyResponse -> {
-                        if (proxyResponse != null && proxyResponse.path("ok").asBoolean()) {
-                            confirmed.add(proxy.asText());
-                        } else if (proxyResponse != null
-                                && proxyResponse.path("refused").asBoolean()) {
-                            rejected.add(proxy.asText());
-                        }
-                        if (proxyResponse != null
-                                && proxyResponse.path("term").asLong()
-                                        > request.path("term").asLong()) {
-                            termGuard.observeTerm(proxyResponse.path("term").asLong());
-                            response.put("term", termGuard.highestTerm());
-                        }
-                        onResponse.run();
-                    });
-        }
-        onResponse.run();
+    private Optional<String> controllerOfProxy(String node) {
+        return Optional.ofNullable(gossip.get(GossipKeys.SESSION_KEY_PREFIX + node))
+                .map(entry -> entry.body().path("helm").asText());
     }
 
     // ---- what is agreed
@@ -814,7 +730,7 @@
             callback.accept(OperatorRequest.Result.unknown("not the leader"));
             return;
         }
-        commitCoordinator.submit(change, callback);
+        commitCoordinator.submit(change, outcome -> callback.accept(outcome.toResult()));
     }
 
     public void evacuate(String zone, boolean isEvacuated, Consumer<Boolean> callback) {
@@ -858,11 +774,11 @@
             case "admit" -> admit(request, callback);
             case "token" -> callback.accept(takeToken(request));
             case "raise" -> callback.accept(raiseFencingToken(request));
-            case "cell" -> relayPhase(request, callback);
+            case PhaseCodec.RELAY_KIND -> phaseRelay.handleRequest(request, callback);
             case "doc" ->
                 callback.accept(findDocument(
                         request.path("epoch").asLong(), request.path("stamp").asText()));
-            case "ping" -> callback.accept(JsonNodeFactory.instance.objectNode().put("touch", isInTouchWithLeader()));
+            case PingCodec.KIND -> callback.accept(PingCodec.encodeControllerResponse(isInTouchWithLeader()));
             case "status" -> callback.accept(status());
             default -> {
                 log.logOnChange(Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unknown");
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -1,6 +1,9 @@
 package bramblespool.coordination.dataplane;
 
 import bramblespool.coordination.configuration.ConfigurationFreshness;
+import bramblespool.coordination.configuration.PhaseCodec;
+import bramblespool.coordination.configuration.PhaseHandler;
+import bramblespool.coordination.configuration.PingCodec;
 import bramblespool.coordination.configuration.ShadowCommitParticipant;
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.AssignedEndpoints;
@@ -78,6 +81,7 @@
 
     private final ControllerSession controllerSession;
     private final TermGuard termGuard;
+    private final PhaseHandler phaseHandler;
     private final ConfigurationFreshness freshness;
     private boolean hasLoggedUnconfirmed;
     private final long callTimeoutMs;
@@ -143,6 +147,7 @@
         this.endpointDirectory = new EndpointDirectory(
                 clock, settings.node(), settings.zone(), bounds.quietPeriodMs() / 3, admissions::load);
         this.shadowCommit = new ShadowCommitParticipant(clock, bounds.applyMs() * 2 / 5, log);
+        this.phaseHandler = new PhaseHandler(termGuard, shadowCommit, this::onVersionMismatch);
         if (settings.isEdge()) {
             this.serverAdmission = null;
             this.assignedEndpoints = new AssignedEndpoints(
@@ -438,8 +443,7 @@
 
     /** What a call's mark tells about the weft it came from: one that still tags with an older version is told the news. */
     public void onCallerTag(String callerNode, String versionTag) {
-        long taggedEpoch = ShadowCommitParticipant.taggedEpoch(versionTag);
-        if (callerNode == null || taggedEpoch < 0 || taggedEpoch >= shadowCommit.epoch() || shadowCommit.isTagging()) {
+        if (callerNode == null || !shadowCommit.isTagOfOlderVersion(versionTag) || shadowCommit.isTagging()) {
             return;
         }
         EndpointDirectory.Proxy proxy = endpointDirectory.findProxy(callerNode);
@@ -463,7 +467,7 @@
         if (proxy.address == null || endpointDirectory.isSuspected(proxy) || !pendingPings.add(proxy.address)) {
             return;
         }
-        transport.call(proxy.address, "ping", JsonNodeFactory.instance.objectNode(), callTimeoutMs, response -> {
+        transport.call(proxy.address, PingCodec.KIND, PingCodec.encodeRequest(), callTimeoutMs, response -> {
             pendingPings.remove(proxy.address);
             if (response == null) {
                 endpointDirectory.markSuspected(proxy);
@@ -479,10 +483,10 @@
             return;
         }
         switch (kind) {
-            case "phase" -> callback.accept(applyPhase(request));
+            case PhaseCodec.PHASE_KIND -> phaseHandler.handleRequest(request, callback);
             case "assign" ->
                 callback.accept(assignedEndpoints == null ? null : assignedEndpoints.applyAssignment(request));
-            case "ping" -> callback.accept(JsonNodeFactory.instance.objectNode());
+            case PingCodec.KIND -> callback.accept(PingCodec.encodeProxyResponse());
             case "doc" ->
                 callback.accept(describeConfiguration(
                         request.path("epoch").asLong(), request.path("stamp").asText()));
@@ -550,52 +554,6 @@
                 : JsonNodeFactory.instance.objectNode().put("doc", configuration.compressedDocument);
     }
 
-    private ObjectNode applyPhase(JsonNode request) {
-        long newEpoch = request.path("new").asLong();
-        String stamp = request.path("stamp").asText();
-        ObjectNode response = JsonNodeFactory.instance.objectNode();
-        if (!termGuard.acceptMessage("phase", request)) {
-            return response.put("ok", false).put("term", termGuard.highestTerm());
-        }
-        switch (request.path("phase").asInt()) {
-            case 0 -> {
-                shadowCommit.revert(newEpoch, stamp);
-                return response.put("ok", true);
-            }
-            case 1 -> {
-                try {
-                    RoutingConfiguration candidate = RoutingConfiguration.compileCompressed(
-                            request.path("doc").asText());
-                    String rejection = shadowCommit.prepareCandidate(
-                            request.path("old").asLong(),
-                            newEpoch,
-                            candidate,
-                            request.path("open").asLong());
-                    if (rejection != null) {
-                        onVersionMismatch();
-                        return response.put("ok", false).put("why", rejection);
-                    }
-                    return response.put("ok", true)
-                            .put("difference", candidate.difference(shadowCommit.realConfiguration()));
-                } catch (RoutingConfiguration.InvalidConfigurationException e) {
-                    return response.put("ok", false).put("refused", true).put("why", e.getMessage());
-                }
-            }
-            case 2 -> {
-                return response.put("ok", shadowCommit.startTagging(newEpoch, stamp));
-            }
-            case 3 -> {
-                return response.put("ok", shadowCommit.swap(newEpoch, stamp));
-            }
-            case 4 -> {
-                return response.put("ok", shadowCommit.markShadowBit(newEpoch, stamp));
-            }
-            default -> {
-                return null;
-            }
-        }
-    }
-
     private ObjectNode describeStatus() {
         ObjectNode status = JsonNodeFactory.instance
                 .objectNode()
--- a/src/main/java/bramblespool/proxy/InboundHandler.java
+++ b/src/main/java/bramblespool/proxy/InboundHandler.java
@@ -67,7 +67,7 @@
                 return rejected("none");
             }
             ShadowCommitParticipant.ResolvedVersion choice = shadowCommit.resolve(versionMark);
-            if (choice == null) {
+            if (!choice.isKnown()) {
                 return rejected("mark");
             }
             if (choice.isShadow()) {
--- a/src/test/java/bramblespool/coordination/configuration/ShadowCommitParticipantTest.java
+++ b/src/test/java/bramblespool/coordination/configuration/ShadowCommitParticipantTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import bramblespool.coordination.configuration.ShadowCommitParticipant.CandidateOutcome;
 import bramblespool.state.EventLog;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.testing.SimulatedMesh;
@@ -35,13 +35,13 @@
 
     private long resolvedVersion(String mark) {
         ShadowCommitParticipant.ResolvedVersion choice = participant.resolve(mark);
-        return choice == null ? -1 : choice.configuration().epoch;
+        return choice.isKnown() ? choice.configuration().epoch : -1;
     }
 
     @Test
     void commitsThroughAllFourPhases() {
         assertEquals("0", participant.currentMark());
-        assertNull(participant.prepareCandidate(5, 7, configuration(7), 0));
+        assertEquals(CandidateOutcome.RECORDED, participant.recordCandidate(5, 7, configuration(7), 0));
         assertEquals("0", participant.currentMark(), "tags are known, not used");
         assertEquals(7, resolvedVersion("1"));
         assertTrue(participant.resolve("1").isShadow(), "a marked test call");
@@ -60,18 +60,18 @@
 
     @Test
     void taggedCallCountsAsTagPacket() {
-        participant.prepareCandidate(5, 7, configuration(7), 0);
+        participant.recordCandidate(5, 7, configuration(7), 0);
         assertEquals(5, resolvedVersion("t5"));
         assertEquals(configuration(5).tag(), participant.currentMark());
     }
 
     @Test
     void candidateRevertsBeforeTagPacketButNotAfter() {
-        participant.prepareCandidate(5, 7, configuration(7), 0);
+        participant.recordCandidate(5, 7, configuration(7), 0);
         simulator.run(1500);
         assertTrue(!participant.startTagging(7, configuration(7).stamp), "the tags are forgotten");
         assertEquals(5, participant.epoch());
-        participant.prepareCandidate(5, 8, configuration(8), 0);
+        participant.recordCandidate(5, 8, configuration(8), 0);
         participant.startTagging(8, configuration(8).stamp);
         simulator.run(1500);
         assertTrue(participant.swap(8, configuration(8).stamp), "past TAG PACKET it waits for what comes");
@@ -79,7 +79,7 @@
 
     @Test
     void abortCannotUndoSwap() {
-        participant.prepareCandidate(5, 7, configuration(7), 0);
+        participant.recordCandidate(5, 7, configuration(7), 0);
         participant.startTagging(7, configuration(7).stamp);
         participant.swap(7, configuration(7).stamp);
         participant.revert(7, configuration(7).stamp);
@@ -92,7 +92,7 @@
     @Test
     void candidateWithSameVersionNumberIsDistinct() throws RoutingConfiguration.InvalidConfigurationException {
         RoutingConfiguration other = RoutingConfiguration.compile(SimulatedMesh.document(7, 0, "other"));
-        participant.prepareCandidate(5, 7, configuration(7), 0);
+        participant.recordCandidate(5, 7, configuration(7), 0);
         assertEquals(-1, resolvedVersion(other.tag()));
         assertFalse(participant.startTagging(7, other.stamp));
         assertFalse(participant.swap(7, other.stamp));
@@ -106,13 +106,13 @@
         assertEquals(-1, resolvedVersion("tx"));
         assertEquals(-1, resolvedVersion("2"));
         assertEquals(-1, resolvedVersion(null));
-        assertEquals("behind", participant.prepareCandidate(4, 7, configuration(7), 0));
+        assertEquals(CandidateOutcome.BEHIND, participant.recordCandidate(4, 7, configuration(7), 0));
     }
 
     @Test
     void abortOfOneCandidateLeavesAnother() throws RoutingConfiguration.InvalidConfigurationException {
         RoutingConfiguration other = RoutingConfiguration.compile(SimulatedMesh.document(7, 0, "other"));
-        participant.prepareCandidate(5, 7, other, 0);
+        participant.recordCandidate(5, 7, other, 0);
         participant.revert(7, configuration(7).stamp);
         participant.revert(6, configuration(6).stamp);
         assertTrue(participant.startTagging(7, other.stamp), "its tags are still there");
@@ -120,7 +120,7 @@
 
     @Test
     void lastPhaseOfOneCommitLeavesTagsOfNext() {
-        participant.prepareCandidate(5, 7, configuration(7), 0);
+        participant.recordCandidate(5, 7, configuration(7), 0);
         assertTrue(participant.markShadowBit(5, configuration(5).stamp));
         assertTrue(participant.startTagging(7, configuration(7).stamp));
         assertTrue(participant.markShadowBit(5, configuration(5).stamp));
@@ -132,10 +132,13 @@
     @Test
     void rivalOfActiveVersionNumberIsNotAcknowledged() throws RoutingConfiguration.InvalidConfigurationException {
         RoutingConfiguration other = RoutingConfiguration.compile(SimulatedMesh.document(5, 0, "other"));
-        assertEquals("behind", participant.prepareCandidate(4, 5, other, 0));
+        assertEquals(CandidateOutcome.BEHIND, participant.recordCandidate(4, 5, other, 0));
         assertFalse(participant.startTagging(5, other.stamp));
         assertFalse(participant.swap(5, other.stamp));
         assertFalse(participant.markShadowBit(5, other.stamp));
-        assertNull(participant.prepareCandidate(4, 5, configuration(5), 0), "what is in force is confirmed");
+        assertEquals(
+                CandidateOutcome.ALREADY_REAL,
+                participant.recordCandidate(4, 5, configuration(5), 0),
+                "what is in force is confirmed");
     }
 }
