--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -13,6 +13,10 @@
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.singleton.ControllerPeers;
+import bramblespool.coordination.singleton.FencingTokenCodec;
+import bramblespool.coordination.singleton.FencingTokenRenewal;
+import bramblespool.coordination.singleton.SingletonRoleKeys;
 import bramblespool.coordination.singleton.SingletonRoles;
 import bramblespool.coordination.singleton.UsageReporter;
 import bramblespool.coordination.tenancy.AdmissionClient;
@@ -63,10 +67,6 @@
     private static final int REGISTRY_READ_DIVISOR = 4;
     /** Rounds of duties within one renewal. */
     private static final int ROLE_CHECKS_PER_RENEWAL = 4;
-    /** Key of the duty of reading a zone's list. */
-    private static final String REGISTRY_ROLE_PREFIX = "list/";
-    /** Key of the duty of leasing out a service's retry slack. */
-    private static final String RETRY_BUDGET_ROLE_PREFIX = "slack/";
 
     private static final int MAX_REQUESTED_ROLES = 1000;
     /** Ratio to {@code quiet} of the lateness from which a helm counts as not keeping up. */
@@ -110,6 +110,7 @@
     private final Map<String, Long> publishedEvacuations = new HashMap<>();
     private final long callTimeoutMs;
     private final SingletonRoles singletonRoles;
+    private final FencingTokenRenewal tokenRenewal;
     private final OverloadDetector overloadDetector;
     private final RetryBudgetLeases retryBudgetLeases;
     /** Keys of duties that somebody has asked for; only these need a holder. */
@@ -238,24 +239,18 @@
             }
         }
         this.retryBudgetLeases = new RetryBudgetLeases(clock, bounds.retryAllowance(), bounds.retryWindowMs());
-        this.singletonRoles = new SingletonRoles(raft, replicatedState, this::roleKeys, UsageReporter.ROLE_KEY::equals);
+        this.singletonRoles =
+                new SingletonRoles(raft, replicatedState, this::roleKeys, SingletonRoleKeys.USAGE::equals);
+        this.tokenRenewal = new FencingTokenRenewal(raft, singletonRoles, transport, callTimeoutMs / 2, log);
         this.usageReporter = platform == null || settings.usageReporting() == null
                 ? null
                 : new UsageReporter(
                         settings,
                         hasFreshStore,
-                        clock,
-                        transport,
-                        platform,
-                        raft,
-                        replicatedState,
-                        singletonRoles,
-                        registerProposer,
-                        gossip,
-                        this::otherControllers,
-                        () -> members,
-                        callTimeoutMs / 2,
-                        log);
+                        new UsageReporter.Environment(clock, platform, log),
+                        new UsageReporter.Replication(raft, replicatedState, tokenRenewal, registerProposer, gossip),
+                        new ControllerPeers(transport, this::otherControllers, callTimeoutMs / 2),
+                        () -> members);
         this.overloadDetector = new OverloadDetector(clock, bounds.quietPeriodMs() / LATENESS_DIVISOR, log);
     }
 
@@ -293,10 +288,10 @@
     /** The duties there are: those the log knows, and those that were asked for since. */
     private Set<String> roleKeys() {
         Set<String> keys = new TreeSet<>(replicatedState.singletonRoles().keySet());
-        registryReaders.keySet().forEach(zone -> keys.add(REGISTRY_ROLE_PREFIX + zone));
+        registryReaders.keySet().forEach(zone -> keys.add(SingletonRoleKeys.REGISTRY_PREFIX + zone));
         keys.addAll(requestedRoles);
         if (usageReporter != null) {
-            keys.add(UsageReporter.ROLE_KEY);
+            keys.add(SingletonRoleKeys.USAGE);
         }
         return keys;
     }
@@ -304,12 +299,13 @@
     /** Leases tries of a service's slack: as its owner, or by asking the owner, or the leader to name one. */
     private void grantRetryLease(JsonNode request, Consumer<ObjectNode> callback) {
         String service = request.path("service").asText();
-        ReplicatedState.SingletonRole role = replicatedState.singletonRoles().get(RETRY_BUDGET_ROLE_PREFIX + service);
+        ReplicatedState.SingletonRole role =
+                replicatedState.singletonRoles().get(SingletonRoleKeys.RETRY_BUDGET_PREFIX + service);
         String owner =
                 role == null ? raft.leaderId() == null ? null : RaftNode.addressOf(raft.leaderId()) : role.owner();
         if (settings.peerAddress().equals(owner)) {
             if (role == null && requestedRoles.size() < MAX_REQUESTED_ROLES) {
-                requestedRoles.add(RETRY_BUDGET_ROLE_PREFIX + service);
+                requestedRoles.add(SingletonRoleKeys.RETRY_BUDGET_PREFIX + service);
             }
             callback.accept(JsonNodeFactory.instance
                     .objectNode()
@@ -447,11 +443,12 @@
         boolean hasLeader = raft.hasLeaderContact();
         registryReaders.forEach((zone, reader) -> {
             ReplicatedState.SingletonRole role =
-                    replicatedState.singletonRoles().get(REGISTRY_ROLE_PREFIX + zone);
+                    replicatedState.singletonRoles().get(SingletonRoleKeys.REGISTRY_PREFIX + zone);
             reader.setOwnership(
                     hasLeader && !isLeaving && role != null && role.owner().equals(settings.peerAddress()),
                     role == null ? 0 : role.fencingToken());
-            reader.setLeaderless(!hasLeader && !isLeaving && isSuccessionCandidate(REGISTRY_ROLE_PREFIX + zone));
+            reader.setLeaderless(
+                    !hasLeader && !isLeaving && isSuccessionCandidate(SingletonRoleKeys.REGISTRY_PREFIX + zone));
             reader.check();
         });
     }
@@ -773,7 +770,7 @@
             case "lease" -> grantRetryLease(request, callback);
             case "admit" -> admit(request, callback);
             case "token" -> callback.accept(takeToken(request));
-            case "raise" -> callback.accept(raiseFencingToken(request));
+            case FencingTokenCodec.KIND -> tokenRenewal.handleRequest(request, callback);
             case PhaseCodec.RELAY_KIND -> phaseRelay.handleRequest(request, callback);
             case "doc" ->
                 callback.accept(findDocument(
@@ -787,19 +784,6 @@
         }
     }
 
-    /** A holder asks for a higher fence, and names the term in which it takes this helm for the leader. */
-    private ObjectNode raiseFencingToken(JsonNode request) {
-        long term = request.path("term").asLong();
-        raft.observeTerm(term);
-        if (term == raft.currentTerm()) {
-            singletonRoles.raiseFencingToken(
-                    request.path("key").asText(), request.path("fence").asLong());
-        } else {
-            log.log(Event.STALE_TERM_REJECTED, "kind", "raise", "term", term, "knownTerm", raft.currentTerm());
-        }
-        return JsonNodeFactory.instance.objectNode().put("term", raft.currentTerm());
-    }
-
     private ObjectNode findDocument(long epoch, String stamp) {
         for (ReplicatedState.Version version : List.of(replicatedState.current(), replicatedState.previous())) {
             if (version.epoch() == epoch
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -13,6 +13,7 @@
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.singleton.ClusterClock;
 import bramblespool.coordination.singleton.UsageCounter;
+import bramblespool.coordination.singleton.UsageWindows;
 import bramblespool.coordination.tenancy.AdmissionClient;
 import bramblespool.coordination.tenancy.IdempotencyTable;
 import bramblespool.coordination.traffic.RetryBudget;
@@ -119,11 +120,7 @@
         ClusterClock clusterClock = new ClusterClock(clock);
         this.usageCounter = settings.usageReporting() == null
                 ? null
-                : new UsageCounter(
-                        clusterClock,
-                        claimOwner,
-                        settings.usageReporting().reportWindowMs(),
-                        settings.usageReporting().usageLateMs());
+                : new UsageCounter(clusterClock, claimOwner, UsageWindows.of(settings.usageReporting()));
         this.termGuard = new TermGuard(log);
         this.freshness = new ConfigurationFreshness(
                 () -> EndpointDirectory.controllerAddresses(gossip, this.settings),
--- a/src/main/java/bramblespool/coordination/membership/ControllerSession.java
+++ b/src/main/java/bramblespool/coordination/membership/ControllerSession.java
@@ -6,6 +6,7 @@
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.singleton.ClusterClock;
+import bramblespool.coordination.singleton.UsageCodec;
 import bramblespool.coordination.singleton.UsageCounter;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
@@ -212,18 +213,21 @@
             if (!address.equals(usageReceiver)) {
                 usageCounter.resetAcknowledged();
             }
-            request.set("usage", usageCounter.collectUnacknowledged());
+            request.set("usage", UsageCodec.encodeUpdate(usageCounter.collectUnacknowledged()));
         }
         return request;
     }
 
     /** The helm has the sums as they were told, and says what time most have. */
     private void onUsageAcknowledged(String address, long sentAtMs, JsonNode response) {
-        if (usageCounter != null && response.has("change")) {
-            usageReceiver = address;
-            usageCounter.acknowledge(response.path("change").asLong());
-            clusterClock.setOffset(clusterClock.offsetOf(response.path("time").asLong(), clock.nowMs() - sentAtMs));
+        if (usageCounter == null) {
+            return;
         }
+        UsageCodec.readReceipt(response).ifPresent(receipt -> {
+            usageReceiver = address;
+            usageCounter.acknowledge(receipt.change());
+            clusterClock.setOffset(clusterClock.offsetOf(receipt.timeMs(), clock.nowMs() - sentAtMs));
+        });
     }
 
     private void onResponse(JsonNode response) {
--- a/src/main/java/bramblespool/coordination/singleton/ClusterClock.java
+++ b/src/main/java/bramblespool/coordination/singleton/ClusterClock.java
@@ -5,9 +5,9 @@
 import java.util.Collection;
 
 /**
- * The time of day as most say it is: the steady clock and an offset. Helms take the median of what all of them say, so a
- * minority whose clocks jump changes nothing; sides take what their helm says. Until anybody has said anything it is the
- * machine's own.
+ * The time of day that the cluster agrees on: the steady clock and an offset. A controller takes the median of what all
+ * controllers say, so that a minority whose clocks jump changes nothing; a proxy takes its controller's. Until anybody has
+ * said anything it is the machine's own time of day. Confined to the event loop.
  */
 public final class ClusterClock {
     private final Clock clock;
@@ -18,25 +18,32 @@
         this.offsetMs = ownOffset();
     }
 
-    /** The offset of this machine's own time of day. */
-    public long ownOffset() {
+    /** How far this machine's own time of day is ahead of its steady clock, in milliseconds. */
+    private long ownOffset() {
         return clock.wallTimeMs() - clock.nowMs();
     }
 
+    /** The cluster's time of day in milliseconds since the epoch. */
     public long now() {
         return clock.nowMs() + offsetMs;
     }
 
-    /** What another process says its time was, as heard after a question that took so long. */
+    /**
+     * The offset that makes this process's clock another one's.
+     *
+     * @param reportedMs the time of day that the other process named
+     * @param roundTripMs how long the question and its answer took; the answer is taken to have been half of that ago
+     */
     public long offsetOf(long reportedMs, long roundTripMs) {
         return reportedMs + roundTripMs / 2 - clock.nowMs();
     }
 
+    /** Takes over another process's clock, see {@link #offsetOf}. */
     public void setOffset(long newOffsetMs) {
         offsetMs = newOffsetMs;
     }
 
-    /** The median of the own machine's time and those of others. */
+    /** Takes the median of this machine's own offset and those of others. */
     public void adoptMedian(Collection<Long> otherOffsets) {
         long[] offsets = new long[otherOffsets.size() + 1];
         int size = 0;
@@ -45,8 +52,7 @@
         }
         offsets[size] = ownOffset();
         Arrays.sort(offsets);
-        offsetMs = offsets.length % 2 == 1
-                ? offsets[offsets.length / 2]
-                : (offsets[offsets.length / 2 - 1] + offsets[offsets.length / 2]) / 2;
+        int middle = offsets.length / 2;
+        offsetMs = offsets.length % 2 == 1 ? offsets[middle] : (offsets[middle - 1] + offsets[middle]) / 2;
     }
 }
--- a/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
+++ b/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
@@ -10,16 +10,24 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** Hands out the keyed duties as the leader: each key is held by a live helm, and changes hands with a higher fence. */
+/**
+ * Assigns the singleton roles, as the leader: each role is owned by one live controller. An assignment is an entry in
+ * the replicated log, and its index is the role's fencing token, so that the token rises each time a role changes hands.
+ * Confined to the event loop.
+ */
 public final class SingletonRoles {
     private final RaftNode raft;
     private final ReplicatedState replicatedState;
     private final Supplier<Collection<String>> roleKeys;
-    /** Which keys are held under a right that lapses soon, so that they change hands sooner. */
     private final Predicate<String> requiresLease;
-
+    /** Roles with an assignment proposed that is not decided yet. */
     private final Set<String> proposedKeys = new HashSet<>();
 
+    /**
+     * @param roleKeys keys of all roles there are
+     * @param requiresLease whether the owner of a role acts only while it holds its voter lease; such a role is taken away
+     *     as soon as the lease has lapsed
+     */
     public SingletonRoles(
             RaftNode raft,
             ReplicatedState replicatedState,
@@ -31,17 +39,18 @@
         this.requiresLease = requiresLease;
     }
 
-    /** Gives a duty to its holder once more, under a higher fence, where the one named is still in force. */
+    /**
+     * Assigns a role to its present owner again, under a higher fencing token. Does nothing where this controller does not
+     * lead, or the token named is not the present one.
+     */
     public void raiseFencingToken(String key, long fencingToken) {
         ReplicatedState.SingletonRole role = replicatedState.singletonRoles().get(key);
         if (raft.isLeader() && role != null && role.fencingToken() == fencingToken && proposedKeys.add(key)) {
-            raft.propose(
-                    ReplicatedState.entry("duty").put("key", key).put("holder", role.owner()),
-                    ok -> proposedKeys.remove(key));
+            propose(key, role.owner());
         }
     }
 
-    /** One round: what nobody alive holds is given away. */
+    /** Assigns each role whose owner is gone, or that has none, to a live controller. To be called at intervals. */
     public void assignRoles() {
         if (!raft.isLeader()) {
             proposedKeys.clear();
@@ -53,14 +62,15 @@
             ReplicatedState.SingletonRole role =
                     replicatedState.singletonRoles().get(key);
             List<String> candidates = requiresLease.test(key) ? leaseHolders : aliveControllers;
-            if (role != null && candidates.contains(role.owner()) || !proposedKeys.add(key)) {
-                continue;
+            boolean hasLiveOwner = role != null && candidates.contains(role.owner());
+            if (!hasLiveOwner && proposedKeys.add(key)) {
+                propose(key, RendezvousHash.highestWeighted(key, candidates));
             }
-            raft.propose(
-                    ReplicatedState.entry("duty")
-                            .put("key", key)
-                            .put("holder", RendezvousHash.highestWeighted(key, candidates)),
-                    ok -> proposedKeys.remove(key));
         }
     }
+
+    private void propose(String key, String owner) {
+        raft.propose(
+                ReplicatedState.entry("duty").put("key", key).put("holder", owner), ok -> proposedKeys.remove(key));
+    }
 }
--- a/src/main/java/bramblespool/coordination/singleton/UsageCounter.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageCounter.java
@@ -1,49 +1,54 @@
 package bramblespool.coordination.singleton;
 
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
+import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * What began to run at this side's gates, by window and tenant. Sums are told, not differences, so that a word said twice
- * does no harm; a window is told again until the helm that holds the session has it as it stands.
+ * Counts the runs that begin at a proxy's servers, by window and tenant. The proxy's controller is sent sums, not
+ * differences, so that an update may arrive twice; a window is sent again until the controller that holds the session has
+ * it as it stands. Confined to the event loop.
  */
 public final class UsageCounter {
+    /** Changes are numbered from 1. */
+    private static final long NO_CHANGE = 0;
+
     private static final class Window {
         private final Object2IntOpenHashMap<String> runsByTenant = new Object2IntOpenHashMap<>();
-        private long lastChange;
-        private long acknowledgedChange = -1;
+        private long lastChange = NO_CHANGE;
+        private long acknowledgedChange = NO_CHANGE;
     }
 
     private final ClusterClock clusterClock;
     private final String incarnation;
-    private final long windowMs;
-    private final int retainedWindows;
+    private final UsageWindows usageWindows;
     private final TreeMap<Long, Window> windows = new TreeMap<>();
     private long changeCount;
 
-    /** {@code life}: this process, for sums of different lives add up; {@code keepMs}: for how long a window may be asked for. */
-    public UsageCounter(ClusterClock clusterClock, String incarnation, long windowMs, long retentionMs) {
+    /** @param incarnation names this process, for sums of different processes add up */
+    public UsageCounter(ClusterClock clusterClock, String incarnation, UsageWindows usageWindows) {
         this.clusterClock = clusterClock;
         this.incarnation = incarnation;
-        this.windowMs = windowMs;
-        this.retainedWindows = (int) (retentionMs / windowMs) + 2;
+        this.usageWindows = usageWindows;
     }
 
     private long currentWindow() {
-        return Math.floorDiv(clusterClock.now(), windowMs);
+        return usageWindows.windowAt(clusterClock.now());
     }
 
-    /** A run begins; the window it is counted in. */
+    /**
+     * Counts a run that begins.
+     *
+     * @return the window that it is counted in, for {@link #undoRun}
+     */
     public long recordRun(String tenant) {
         long window = currentWindow();
         add(window, tenant, 1);
         return window;
     }
 
-    /** It did not run after all. */
+    /** Takes a run back that did not begin after all. */
     public void undoRun(String tenant, long window) {
         if (windows.containsKey(window)) {
             add(window, tenant, -1);
@@ -55,7 +60,7 @@
         if (usage == null) {
             usage = new Window();
             windows.put(window, usage);
-            while (windows.size() > retainedWindows) {
+            while (windows.size() > usageWindows.retained()) {
                 windows.pollFirstEntry();
             }
         }
@@ -63,33 +68,33 @@
         usage.lastChange = ++changeCount;
     }
 
-    /** To a helm that may know nothing yet, all is told again. */
+    /** Forgets what was acknowledged: another controller, which may know nothing yet, gets everything. */
     public void resetAcknowledged() {
-        windows.values().forEach(window -> window.acknowledgedChange = -1);
+        windows.values().forEach(window -> window.acknowledgedChange = NO_CHANGE);
     }
 
-    /** What the helm does not have yet. {@code through}: the windows before this one are over here. */
-    public ObjectNode collectUnacknowledged() {
-        ObjectNode usage = JsonNodeFactory.instance
-                .objectNode()
-                .put("life", incarnation)
-                .put("through", currentWindow())
-                .put("change", changeCount);
-        ObjectNode windowsNode = usage.putObject("windows");
-        for (Map.Entry<Long, Window> entry : windows.entrySet()) {
-            if (entry.getValue().acknowledgedChange < entry.getValue().lastChange) {
-                ObjectNode tenantSums = windowsNode.putObject(Long.toString(entry.getKey()));
-                entry.getValue().runsByTenant.object2IntEntrySet().forEach(tenantCount -> {
-                    if (tenantCount.getIntValue() > 0) {
-                        tenantSums.put(tenantCount.getKey(), tenantCount.getIntValue());
-                    }
-                });
+    /** The windows that the controller does not have as they stand. */
+    public UsageUpdate collectUnacknowledged() {
+        Map<Long, Map<String, Integer>> runsByWindow = new LinkedHashMap<>();
+        windows.forEach((number, window) -> {
+            if (window.acknowledgedChange < window.lastChange) {
+                runsByWindow.put(number, positiveRuns(window));
             }
-        }
-        return usage;
+        });
+        return new UsageUpdate(incarnation, currentWindow(), changeCount, runsByWindow);
+    }
+
+    private static Map<String, Integer> positiveRuns(Window window) {
+        Map<String, Integer> runs = new LinkedHashMap<>();
+        window.runsByTenant.object2IntEntrySet().forEach(tenantCount -> {
+            if (tenantCount.getIntValue() > 0) {
+                runs.put(tenantCount.getKey(), tenantCount.getIntValue());
+            }
+        });
+        return runs;
     }
 
-    /** The helm has taken what was told up to this change. */
+    /** The controller has all changes up to this one. */
     public void acknowledge(long change) {
         windows.values().forEach(window -> {
             if (window.lastChange <= change) {
