--- a/src/main/java/bramblespool/coordination/configuration/CandidateFactory.java
+++ b/src/main/java/bramblespool/coordination/configuration/CandidateFactory.java
@@ -2,6 +2,7 @@
 
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.state.CompressedDocument;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
 import com.google.gson.JsonObject;
@@ -50,7 +51,7 @@
         try {
             JsonObject document = change.applyTo(currentConfiguration());
             candidate = RoutingConfiguration.compile(document, CompressedDocument.compress(document.toString()));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             return new Decided(new ChangeOutcome.Invalid(e.getMessage()));
         }
         long currentEpoch = replicatedState.current().epoch();
@@ -66,7 +67,7 @@
     }
 
     /** The version in force; null before the first. */
-    private RoutingConfiguration currentConfiguration() throws RoutingConfiguration.InvalidConfigurationException {
+    private RoutingConfiguration currentConfiguration() throws InvalidConfigurationException {
         ReplicatedState.Version version = replicatedState.current();
         if (version.compressedDocument() == null) {
             return null;
--- a/src/main/java/bramblespool/coordination/configuration/PhaseHandler.java
+++ b/src/main/java/bramblespool/coordination/configuration/PhaseHandler.java
@@ -1,6 +1,7 @@
 package bramblespool.coordination.configuration;
 
 import bramblespool.coordination.configuration.ShadowCommitParticipant.CandidateOutcome;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -54,7 +55,7 @@
         try {
             candidate =
                     RoutingConfiguration.compileCompressed(message.candidate().compressedDocument());
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             return new PhaseAcknowledgement.Rejected(e.getMessage());
         }
         CandidateOutcome outcome = participant.recordCandidate(
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -1,6 +1,8 @@
 package bramblespool.coordination.configuration;
 
 import bramblespool.protocol.OperatorRequest;
+import bramblespool.raft.LeadershipConfirmation;
+import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
@@ -142,8 +144,8 @@
         RoutingConfiguration candidate = ((CandidateFactory.Candidate) evaluation).configuration();
         isBusy = true;
         BooleanSupplier isStillLeading = leadership.currentLeadership();
-        commitLog.storeCandidate(pending.change(), candidate, isStored -> {
-            if (!isStored || !isStillLeading.getAsBoolean()) {
+        commitLog.storeCandidate(pending.change(), candidate, outcome -> {
+            if (outcome != ProposalOutcome.COMMITTED || !isStillLeading.getAsBoolean()) {
                 pending.complete(new ChangeOutcome.LeadershipLost());
                 return;
             }
@@ -164,9 +166,9 @@
      * more, and the outcome is unknown.
      */
     private void confirmAndComplete(PendingChange pending, ChangeOutcome outcome) {
-        raft.confirmLeadership(isConfirmed -> {
+        raft.confirmLeadership(confirmation -> {
             OperatorRequest.Result result = outcome.toResult();
-            if (!isConfirmed) {
+            if (confirmation != LeadershipConfirmation.CONFIRMED) {
                 log.log(Event.QUORUM_UNCONFIRMED, "status", result.status(), "cause", result.message());
                 pending.complete(new ChangeOutcome.NoMajority());
                 return;
@@ -232,8 +234,8 @@
         BooleanSupplier isStillLeading = leadership.currentLeadership();
         log.log(Event.COMMIT_ABORTED, "epoch", epoch, "cause", reason);
         phaseRunner.abort(epoch, stamp, members.get(), () -> {});
-        commitLog.abortCandidate(epoch, isCommitted -> {
-            if (isCommitted && isStillLeading.getAsBoolean()) {
+        commitLog.abortCandidate(epoch, outcome -> {
+            if (outcome == ProposalOutcome.COMMITTED && isStillLeading.getAsBoolean()) {
                 onAborted.run();
             }
         });
@@ -244,8 +246,9 @@
         BooleanSupplier isStillLeading = leadership.currentLeadership();
         unconfirmed = members.get();
         unconfirmed.removeAll(confirmed);
-        commitLog.decideCandidate(candidate.epoch, isCommitted -> {
-            if (!isCommitted || !replicatedState.isCommitted(pending.change().digest())) {
+        commitLog.decideCandidate(candidate.epoch, outcome -> {
+            if (outcome != ProposalOutcome.COMMITTED
+                    || !replicatedState.isCommitted(pending.change().digest())) {
                 pending.complete(new ChangeOutcome.LeadershipLost());
                 return;
             }
@@ -269,8 +272,8 @@
             }
             commit.unresponsive().addAll(unresponsive);
             ReplicatedState.Phase recorded = phase.recordedAs().orElseThrow();
-            commitLog.recordPhase(commit.epoch(), recorded, isCommitted -> {
-                if (isCommitted) {
+            commitLog.recordPhase(commit.epoch(), recorded, outcome -> {
+                if (outcome == ProposalOutcome.COMMITTED) {
                     runNextPhase(phase, commit, isStillLeading);
                 }
             });
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -13,6 +13,7 @@
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterResult;
 import bramblespool.coordination.singleton.ControllerPeers;
 import bramblespool.coordination.singleton.FencingTokenCodec;
 import bramblespool.coordination.singleton.FencingTokenRenewal;
@@ -26,6 +27,8 @@
 import bramblespool.coordination.traffic.OverloadDetector;
 import bramblespool.coordination.traffic.RetryBudgetLeases;
 import bramblespool.protocol.OperatorRequest;
+import bramblespool.raft.LeadershipConfirmation;
+import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
 import bramblespool.raft.RaftTimeouts;
 import bramblespool.raft.StateMachine;
@@ -43,7 +46,6 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -89,10 +91,10 @@
     private final EventLog log;
     private Settings settings;
     private final ReplicatedState replicatedState = new ReplicatedState();
-    public final GossipStore gossip;
-    public final RaftNode raft;
-    public final ShadowCommitCoordinator commitCoordinator;
-    public final RegisterProposer registerProposer;
+    private final GossipStore gossip;
+    private final RaftNode raft;
+    private final ShadowCommitCoordinator commitCoordinator;
+    private final RegisterProposer registerProposer;
     private final TenantRateLimiter rateLimiter;
     private final ShardLeases shardLeases;
     /** Whether this process founded its disk: nothing was ever granted before it. */
@@ -144,7 +146,7 @@
                 true,
                 new GossipStore.GossipPeers() {
                     @Override
-                    public Collection<String> pushTargets(GossipStore.Source source) {
+                    public List<String> pushTargets(GossipStore.Source source) {
                         // Whoever hears a thing first tells the other cells.
                         List<String> recipients = sessionPeers();
                         if (source != GossipStore.Source.CONTROLLER) {
@@ -429,10 +431,12 @@
                 request.path("instead").isTextual() ? request.path("instead").asText() : null,
                 Math.max(1, request.path("within").asLong() * 4 / 5),
                 result -> {
-                    switch (result.outcome()) {
-                        case CHOSEN -> response.put("verdict", "go");
-                        case CONFLICT -> response.put("verdict", "held").put("stands", result.value());
-                        default -> response.put("verdict", "none");
+                    if (result instanceof RegisterResult.Chosen) {
+                        response.put("verdict", "go");
+                    } else if (result instanceof RegisterResult.Conflict conflict) {
+                        response.put("verdict", "held").put("stands", conflict.currentValue());
+                    } else {
+                        response.put("verdict", "none");
                     }
                     callback.accept(response);
                 });
@@ -494,6 +498,18 @@
         return replicatedState;
     }
 
+    public RaftNode raft() {
+        return raft;
+    }
+
+    public ShadowCommitCoordinator commitCoordinator() {
+        return commitCoordinator;
+    }
+
+    public RegisterProposer registerProposer() {
+        return registerProposer;
+    }
+
     private void publishSelf() {
         isAnnouncedAsVoter = replicatedState.voterSinceIndexes().containsKey(raft == null ? "" : raft.localId());
         gossip.publish(JsonNodeFactory.instance
@@ -632,9 +648,9 @@
     // ---- what is agreed
 
     @Override
-    public void apply(long index, JsonNode entry) {
+    public void apply(long index, String entry) {
         long previousVotersChangedIndex = replicatedState.votersChangedIndex();
-        replicatedState.apply(index, entry);
+        replicatedState.apply(index, ReplicatedState.parse(entry));
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
@@ -644,13 +660,13 @@
     }
 
     @Override
-    public ObjectNode snapshot() {
-        return replicatedState.snapshot();
+    public String snapshot() {
+        return replicatedState.snapshot().toString();
     }
 
     @Override
-    public void restore(JsonNode data) {
-        replicatedState.restore(data);
+    public void restore(String snapshot) {
+        replicatedState.restore(ReplicatedState.parse(snapshot));
         shardLeases.onVotersChanged();
         schedulePublish();
     }
@@ -736,15 +752,21 @@
         if (raft.isLeader()
                 && !raft.hasUnappliedEntries()
                 && (current == null ? !isEvacuated : current.isEvacuated() == isEvacuated)) {
-            raft.confirmLeadership(callback);
+            raft.confirmLeadership(confirmation -> callback.accept(confirmation == LeadershipConfirmation.CONFIRMED));
             return;
         }
-        raft.propose(ReplicatedState.entry("evac").put("zone", zone).put("on", isEvacuated), callback);
+        raft.propose(
+                ReplicatedState.entry("evac")
+                        .put("zone", zone)
+                        .put("on", isEvacuated)
+                        .toString(),
+                outcome -> callback.accept(outcome == ProposalOutcome.COMMITTED));
     }
 
     /** The newest version, confirmed by a majority; null where that fails. */
     public void readConfiguration(Consumer<ReplicatedState.Version> callback) {
-        raft.confirmLeadership(ok -> callback.accept(ok ? replicatedState.current() : null));
+        raft.confirmLeadership(confirmation ->
+                callback.accept(confirmation == LeadershipConfirmation.CONFIRMED ? replicatedState.current() : null));
     }
 
     // ---- peers
--- a/src/main/java/bramblespool/coordination/singleton/ReportAgreement.java
+++ b/src/main/java/bramblespool/coordination/singleton/ReportAgreement.java
@@ -1,6 +1,7 @@
 package bramblespool.coordination.singleton;
 
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterResult;
 import java.util.Collection;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
@@ -58,13 +59,13 @@
      */
     void agree(long window, long elapsedMs, Consumer<Outcome> callback) {
         registerProposer.read(registerId(window), registerTimeoutMs(), result -> {
-            if (result.outcome() == RegisterProposer.Outcome.UNKNOWN) {
-                callback.accept(new NoMajority());
-            } else if (result.value() != null) {
+            if (result instanceof RegisterResult.Chosen chosen) {
                 // An earlier owner, or this one, has proposed it.
-                callback.accept(new Agreed(result.value()));
-            } else {
+                callback.accept(new Agreed(chosen.value()));
+            } else if (result instanceof RegisterResult.Empty) {
                 gather(window, elapsedMs, callback);
+            } else {
+                callback.accept(new NoMajority());
             }
         });
     }
@@ -103,8 +104,8 @@
         }
         String report = UsageCodec.encodeReport(new WindowReport(window, usage.totalsByTenant()));
         registerProposer.setIfAbsent(registerId(window), report, registerTimeoutMs(), result -> {
-            boolean isChosen = result.outcome() == RegisterProposer.Outcome.CHOSEN;
-            callback.accept(isChosen ? new Agreed(result.value()) : new NoMajority());
+            callback.accept(
+                    result instanceof RegisterResult.Chosen chosen ? new Agreed(chosen.value()) : new NoMajority());
         });
     }
 
--- a/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
+++ b/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
@@ -71,6 +71,10 @@
 
     private void propose(String key, String owner) {
         raft.propose(
-                ReplicatedState.entry("duty").put("key", key).put("holder", owner), ok -> proposedKeys.remove(key));
+                ReplicatedState.entry("duty")
+                        .put("key", key)
+                        .put("holder", owner)
+                        .toString(),
+                outcome -> proposedKeys.remove(key));
     }
 }
--- a/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
+++ b/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
@@ -2,7 +2,7 @@
 
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.register.RegisterProposer;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Tenant;
 import bramblespool.transport.Clock;
 import bramblespool.transport.PeerTransport;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -110,7 +110,7 @@
      */
     public void admit(
             String tenant,
-            RoutingConfiguration.Tenant limit,
+            Tenant limit,
             long epoch,
             String registerId,
             String claim,
--- a/src/test/java/bramblespool/cluster/CapacityMeasurement.java
+++ b/src/test/java/bramblespool/cluster/CapacityMeasurement.java
@@ -3,7 +3,7 @@
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.coordination.tenancy.AdmissionClient;
 import bramblespool.protocol.OperatorRequest;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.Tenant;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.SimulatedPlatform;
 import bramblespool.testing.Simulator;
@@ -119,7 +119,7 @@
         simulator.trafficByKind = null;
 
         // One change of configuration, with 560 routes to start from.
-        submitAndAwait(mesh, mesh.largeChange(5, 0, 560), proxies);
+        submitAndAwait(mesh, mesh.largeChange(5, 0, 560));
         simulator.run(3000);
         before = trafficByPeer(mesh);
         long startMs = simulator.nowMs();
@@ -128,7 +128,7 @@
         long idleMessagesPerS = (long) (FIGURES.get("idle: messages a daemon and second")
                         .get(FIGURES.get("idle: messages a daemon and second").size() - 1)
                 * daemons);
-        submitAndAwait(mesh, mesh.largeChange(6, 5, 561), proxies);
+        submitAndAwait(mesh, mesh.largeChange(6, 5, 561));
         recordFigure("a change: until every side has it, ms", simulator.nowMs() - startMs);
         simulator.run(2000);
         double elapsedS = (simulator.nowMs() - startMs) / 1000.0;
@@ -158,7 +158,7 @@
                 String tenant = "t" + i % 97;
                 proxy.admissionClient.admit(
                         tenant,
-                        new RoutingConfiguration.Tenant(tenant, -1, 1e6, 1e6),
+                        new Tenant(tenant, -1, 1e6, 1e6),
                         1,
                         keyed ? proxy.admissionClient.registerId(tenant, "k" + i) : null,
                         keyed ? "10.0.0.1:7000 life " + i : null,
@@ -182,11 +182,10 @@
         }
         recordFigure(
                 "registers held by a voter",
-                mesh.controllers.values().iterator().next().registerProposer.registerCount());
+                mesh.controllers.values().iterator().next().registerProposer().registerCount());
 
         // A tenth of the sides dies, and comes back.
         messagesBefore = simulator.messageCount;
-        startMs = simulator.nowMs();
         cpuBeforeNs = cpuTimeNs();
         for (int i = 0; i < proxies / 10; i++) {
             mesh.killSidecar(SimulatedMesh.sidecarPeer(i * 10));
@@ -229,7 +228,8 @@
     private static void recordTrafficByRole(
             SimulatedMesh mesh, Map<String, long[]> before, double seconds, int proxies, String when) {
         Map<String, long[]> after = trafficByPeer(mesh);
-        String leader = bramblespool.raft.RaftNode.addressOf(mesh.leader().raft.localId());
+        String leader =
+                bramblespool.raft.RaftNode.addressOf(mesh.leader().raft().localId());
         double[] controllerTotals = new double[2];
         double[] proxyTotals = new double[2];
         after.forEach((peer, traffic) -> {
@@ -252,7 +252,7 @@
                 when + ": bytes sent by the leader a second", (after.get(leader)[1] - before.get(leader)[1]) / seconds);
     }
 
-    private static void submitAndAwait(SimulatedMesh mesh, OperatorRequest.ConfigurationChange change, int sides) {
+    private static void submitAndAwait(SimulatedMesh mesh, OperatorRequest.ConfigurationChange change) {
         OperatorRequest.Result[] outcome = new OperatorRequest.Result[1];
         mesh.submitToLeader(change, o -> outcome[0] = o);
         long epoch = change.document().get("epoch").getAsLong();
--- a/src/test/java/bramblespool/cluster/EndpointAssignmentTest.java
+++ b/src/test/java/bramblespool/cluster/EndpointAssignmentTest.java
@@ -9,8 +9,8 @@
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.protocol.RegistryPage;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
-import bramblespool.state.RoutingConfiguration;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.SimulatedPlatform;
 import bramblespool.transport.PlatformClient;
@@ -192,7 +192,7 @@
         Set<String> lostPeers = new TreeSet<>(List.of(registryReader("a")));
         if (includesLeader) {
             mesh.controllers.forEach((peer, controller) -> {
-                if (controller.raft.isLeader()) {
+                if (controller.raft().isLeader()) {
                     lostPeers.add(peer);
                 }
             });
@@ -248,9 +248,7 @@
                         : (fault.equals("cut") ? page.substring(0, page.length() - 9) : page)
                                 .getBytes(StandardCharsets.UTF_8));
         if (!fault.equals("429") && !fault.equals("silence") && !fault.equals("endless")) {
-            assertThrows(
-                    RoutingConfiguration.InvalidConfigurationException.class,
-                    () -> RegistryPage.parse(platform.pageOverride.body()));
+            assertThrows(InvalidConfigurationException.class, () -> RegistryPage.parse(platform.pageOverride.body()));
         }
         int before = platform.callsByPeer.values().stream().mapToInt(i -> i).sum();
         mesh.simulator.run(6000);
@@ -303,7 +301,7 @@
     void acknowledgedChangesSurviveTwoDiskLossesAndPowerLoss(long seed) {
         SimulatedMesh cluster = new SimulatedMesh(seed, 5, 2, 2, platform);
         cluster.simulator.run(6000);
-        assertEquals(5, cluster.leader().raft.voters().size());
+        assertEquals(5, cluster.leader().raft().voters().size());
         OperatorRequest.Result[] outcome = new OperatorRequest.Result[1];
         cluster.submitToLeader(SimulatedMesh.change(5, 0, "one"), o -> outcome[0] = o);
         while (outcome[0] == null) {
