--- a/scripts/rolling-replacement.sh
+++ b/scripts/rolling-replacement.sh
@@ -106,7 +106,7 @@
 [faultBudget]
 machines = 1
 [bounds]
-quiet = "3s"
+quiet = "6s"
 ack = "5s"
 drain = "2500ms"
 grace = "6s"
@@ -183,7 +183,7 @@
     wait_for "$name" "$check" "$ip"
     sleep 1
     : > "$DIR/replacing"
-    echo "  $name replaced in $((($(date +%s%N) - from) / 1000000)) ms"
+    echo "  $(date +%T.%3N) $name replaced in $((($(date +%s%N) - from) / 1000000)) ms"
     sleep "$PAUSE_S"
     kill -0 "$TRAFFIC" 2>/dev/null || failed "the traffic has ended early"
 }
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -1,5 +1,10 @@
 package bramblespool.coordination.controller;
 
+import bramblespool.coordination.configuration.PhaseCodec;
+import bramblespool.coordination.configuration.PhaseDispatcher;
+import bramblespool.coordination.configuration.PhaseRelay;
+import bramblespool.coordination.configuration.PhaseTimeouts;
+import bramblespool.coordination.configuration.PingCodec;
 import bramblespool.coordination.configuration.ShadowCommitCoordinator;
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.RegistryReader;
@@ -12,6 +17,10 @@
 import bramblespool.coordination.register.RegisterService;
 import bramblespool.coordination.register.RegisterTimings;
 import bramblespool.coordination.register.RegisterVoters;
+import bramblespool.coordination.singleton.ControllerPeers;
+import bramblespool.coordination.singleton.FencingTokenCodec;
+import bramblespool.coordination.singleton.FencingTokenRenewal;
+import bramblespool.coordination.singleton.SingletonRoleKeys;
 import bramblespool.coordination.singleton.SingletonRoles;
 import bramblespool.coordination.singleton.UsageReporter;
 import bramblespool.coordination.tenancy.AdmissionClient;
@@ -42,9 +51,9 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -63,10 +72,6 @@
     private static final int REGISTRY_READ_DIVISOR = 4;
     /** Rounds of duties within one renewal. */
     private static final int ROLE_CHECKS_PER_RENEWAL = 4;
-    /** Key of the duty of reading a zone's list. */
-    private static final String REGISTRY_ROLE_PREFIX = "list/";
-    /** Key of the duty of leasing out a service's retry slack. */
-    private static final String RETRY_BUDGET_ROLE_PREFIX = "slack/";
 
     private static final int MAX_REQUESTED_ROLES = 1000;
     /** Ratio to {@code quiet} of the lateness from which a helm counts as not keeping up. */
@@ -102,7 +107,7 @@
     private final UsageReporter usageReporter;
 
     private boolean isAnnouncedAsVoter;
-    private final TermGuard termGuard;
+    private final PhaseRelay phaseRelay;
     /** Owners of slices that did not answer, and when. */
     private final Map<String, Long> unresponsiveSinceMs = new HashMap<>();
 
@@ -111,6 +116,7 @@
     private final Map<String, Long> publishedEvacuations = new HashMap<>();
     private final long callTimeoutMs;
     private final SingletonRoles singletonRoles;
+    private final FencingTokenRenewal tokenRenewal;
     private final OverloadDetector overloadDetector;
     private final RetryBudgetLeases retryBudgetLeases;
     /** Keys of duties that somebody has asked for; only these need a holder. */
@@ -136,7 +142,6 @@
         this.log = log;
         Settings.Bounds bounds = settings.bounds();
         this.callTimeoutMs = bounds.quietPeriodMs() / CALL_TIMEOUT_DIVISOR;
-        this.termGuard = new TermGuard(log);
         this.gossip = new GossipStore(
                 clock,
                 transport,
@@ -211,13 +216,15 @@
                 this,
                 RaftTimeouts.of(bounds.quietPeriodMs(), bounds.catchUpMs()),
                 log);
+        this.phaseRelay = new PhaseRelay(transport, new TermGuard(log), raft::leaderTerm, this::openSessionAddress);
         this.commitCoordinator = new ShadowCommitCoordinator(
                 raft,
                 replicatedState,
-                this::runPhase,
+                new PhaseDispatcher(
+                        transport, settings.peerAddress(), phaseRelay, this::controllerOfProxy, raft::observeTerm),
                 () -> new HashSet<>(members),
                 clock,
-                ShadowCommitCoordinator.PhaseTimeouts.of(bounds.acknowledgementMs(), bounds.applyMs()),
+                PhaseTimeouts.of(bounds.acknowledgementMs(), bounds.applyMs()),
                 log);
         if (platform != null && settings.discovery() == Settings.Discovery.PLATFORM) {
             for (String zone : settings.zones().keySet()) {
@@ -235,24 +242,18 @@
             }
         }
         this.retryBudgetLeases = new RetryBudgetLeases(clock, bounds.retryAllowance(), bounds.retryWindowMs());
-        this.singletonRoles = new SingletonRoles(raft, replicatedState, this::roleKeys, UsageReporter.ROLE_KEY::equals);
+        this.singletonRoles =
+                new SingletonRoles(raft, replicatedState, this::roleKeys, SingletonRoleKeys.USAGE::equals);
+        this.tokenRenewal = new FencingTokenRenewal(raft, singletonRoles, transport, callTimeoutMs / 2, log);
         this.usageReporter = platform == null || settings.usageReporting() == null
                 ? null
                 : new UsageReporter(
                         settings,
                         hasFreshStore,
-                        clock,
-                        transport,
-                        platform,
-                        raft,
-                        replicatedState,
-                        singletonRoles,
-                        registerProposer,
-                        gossip,
-                        this::otherControllers,
-                        () -> members,
-                        callTimeoutMs / 2,
-                        log);
+                        new UsageReporter.Environment(clock, platform, log),
+                        new UsageReporter.Replication(raft, replicatedState, tokenRenewal, registerProposer, gossip),
+                        new ControllerPeers(transport, this::otherControllers, callTimeoutMs / 2),
+                        () -> members);
         this.overloadDetector = new OverloadDetector(clock, bounds.quietPeriodMs() / LATENESS_DIVISOR, log);
     }
 
@@ -290,10 +291,10 @@
     /** The duties there are: those the log knows, and those that were asked for since. */
     private Set<String> roleKeys() {
         Set<String> keys = new TreeSet<>(replicatedState.singletonRoles().keySet());
-        registryReaders.keySet().forEach(zone -> keys.add(REGISTRY_ROLE_PREFIX + zone));
+        registryReaders.keySet().forEach(zone -> keys.add(SingletonRoleKeys.REGISTRY_PREFIX + zone));
         keys.addAll(requestedRoles);
         if (usageReporter != null) {
-            keys.add(UsageReporter.ROLE_KEY);
+            keys.add(SingletonRoleKeys.USAGE);
         }
         return keys;
     }
@@ -301,12 +302,13 @@
     /** Leases tries of a service's slack: as its owner, or by asking the owner, or the leader to name one. */
     private void grantRetryLease(JsonNode request, Consumer<ObjectNode> callback) {
         String service = request.path("service").asText();
-        ReplicatedState.SingletonRole role = replicatedState.singletonRoles().get(RETRY_BUDGET_ROLE_PREFIX + service);
+        ReplicatedState.SingletonRole role =
+                replicatedState.singletonRoles().get(SingletonRoleKeys.RETRY_BUDGET_PREFIX + service);
         String owner =
                 role == null ? raft.leaderId() == null ? null : RaftNode.addressOf(raft.leaderId()) : role.owner();
         if (settings.peerAddress().equals(owner)) {
             if (role == null && requestedRoles.size() < MAX_REQUESTED_ROLES) {
-                requestedRoles.add(RETRY_BUDGET_ROLE_PREFIX + service);
+                requestedRoles.add(SingletonRoleKeys.RETRY_BUDGET_PREFIX + service);
             }
             callback.accept(JsonNodeFactory.instance
                     .objectNode()
@@ -446,11 +448,12 @@
         boolean hasLeader = raft.hasLeaderContact();
         registryReaders.forEach((zone, reader) -> {
             ReplicatedState.SingletonRole role =
-                    replicatedState.singletonRoles().get(REGISTRY_ROLE_PREFIX + zone);
+                    replicatedState.singletonRoles().get(SingletonRoleKeys.REGISTRY_PREFIX + zone);
             reader.setOwnership(
                     hasLeader && !isLeaving && role != null && role.owner().equals(settings.peerAddress()),
                     role == null ? 0 : role.fencingToken());
-            reader.setLeaderless(!hasLeader && !isLeaving && isSuccessionCandidate(REGISTRY_ROLE_PREFIX + zone));
+            reader.setLeaderless(
+                    !hasLeader && !isLeaving && isSuccessionCandidate(SingletonRoleKeys.REGISTRY_PREFIX + zone));
             reader.check();
         });
     }
@@ -636,106 +639,16 @@
         });
     }
 
-    // ---- phases, through the cells
+    // ---- phases, by way of the zone controllers
 
-    private void runPhase(
-            ObjectNode message,
-            Set<String> proxies,
-            long timeoutMs,
-            Consumer<ShadowCommitCoordinator.Acknowledgements> callback) {
-        ShadowCommitCoordinator.Acknowledgements acknowledgements =
-                new ShadowCommitCoordinator.Acknowledgements(new HashSet<>(), new HashSet<>());
-        if (proxies.isEmpty()) {
-            callback.accept(acknowledgements);
-            return;
-        }
-        Map<String, Set<String>> proxiesByController = new HashMap<>();
-        for (String proxy : proxies) {
-            GossipStore.GossipEntry entry = gossip.get(GossipKeys.SESSION_KEY_PREFIX + proxy);
-            if (entry != null) {
-                proxiesByController
-                        .computeIfAbsent(entry.body().path("helm").asText(), k -> new LinkedHashSet<>())
-                        .add(proxy);
-            }
-        }
-        int[] pending = {proxiesByController.size()};
-        boolean[] isFinished = {false};
-        Runnable finish = () -> {
-            if (!isFinished[0]) {
-                isFinished[0] = true;
-                callback.accept(acknowledgements);
-            }
-        };
-        Consumer<JsonNode> onResponse = response -> {
-            if (response != null) {
-                response.path("ok").forEach(n -> acknowledgements.confirmed().add(n.asText()));
-                response.path("refused")
-                        .forEach(n -> acknowledgements.rejected().add(n.asText()));
-                raft.observeTerm(response.path("term").asLong());
-            }
-            if (--pending[0] == 0) {
-                finish.run();
-            }
-        };
-        proxiesByController.forEach((controller, proxyNodes) -> {
-            ObjectNode controllerMessage = message.deepCopy();
-            ArrayNode proxyList = controllerMessage.putArray("wefts");
-            proxyNodes.forEach(proxyList::add);
-            controllerMessage.put("within", timeoutMs * 4 / 5);
-            if (controller.equals(settings.peerAddress())) {
-                relayPhase(controllerMessage, onResponse::accept);
-            } else {
-                transport.call(controller, "cell", controllerMessage, timeoutMs, onResponse);
-            }
-        });
+    private Optional<String> openSessionAddress(String node) {
+        Session session = sessions.get(node);
+        return session != null && session.isOpen ? Optional.of(session.peerAddress) : Optional.empty();
     }
 
-    /** The cell's part: hands the phase to its wefts and gathers their answers. */
-    private void relayPhase(JsonNode request, Consumer<ObjectNode> callback) {
-        ObjectNode response = JsonNodeFactory.instance.objectNode();
-        ArrayNode confirmed = response.putArray("ok");
-        ArrayNode rejected = response.putArray("refused");
-        termGuard.observeTerm(raft.leaderTerm());
-        if (!termGuard.acceptMessage("cell", request)) {
-            callback.accept(response.put("term", termGuard.highestTerm()));
-            return;
-        }
-        ObjectNode phaseMessage = ((ObjectNode) request).deepCopy();
-        phaseMessage.remove(List.of("wefts", "within"));
-        int[] pending = {1};
-        Runnable onResponse = () -> {
-            if (--pending[0] == 0) {
-                callback.accept(response);
-            }
-        };
-        for (JsonNode proxy : request.path("wefts")) {
-            Session session = sessions.get(proxy.asText());
-            if (session == null || !session.isOpen) {
-                continue;
-            }
-            pending[0]++;
-            transport.call(
-                    session.peerAddress,
-                    "phase",
-                    phaseMessage,
-                    request.path("within").asLong(),
-                    proxyResponse -> {
-                        if (proxyResponse != null && proxyResponse.path("ok").asBoolean()) {
-                            confirmed.add(proxy.asText());
-                        } else if (proxyResponse != null
-                                && proxyResponse.path("refused").asBoolean()) {
-                            rejected.add(proxy.asText());
-                        }
-                        if (proxyResponse != null
-                                && proxyResponse.path("term").asLong()
-                                        > request.path("term").asLong()) {
-                            termGuard.observeTerm(proxyResponse.path("term").asLong());
-                            response.put("term", termGuard.highestTerm());
-                        }
-                        onResponse.run();
-                    });
-        }
-        onResponse.run();
+    private Optional<String> controllerOfProxy(String node) {
+        return Optional.ofNullable(gossip.get(GossipKeys.SESSION_KEY_PREFIX + node))
+                .map(entry -> entry.body().path("helm").asText());
     }
 
     // ---- what is agreed
@@ -836,7 +749,7 @@
             callback.accept(OperatorRequest.Result.unknown("not the leader"));
             return;
         }
-        commitCoordinator.submit(change, callback);
+        commitCoordinator.submit(change, outcome -> callback.accept(outcome.toResult()));
     }
 
     public void evacuate(String zone, boolean isEvacuated, Consumer<Boolean> callback) {
@@ -885,12 +798,12 @@
             case "lease" -> grantRetryLease(request, callback);
             case "admit" -> admit(request, callback);
             case "token" -> callback.accept(takeToken(request));
-            case "raise" -> callback.accept(raiseFencingToken(request));
-            case "cell" -> relayPhase(request, callback);
+            case FencingTokenCodec.KIND -> tokenRenewal.handleRequest(request, callback);
+            case PhaseCodec.RELAY_KIND -> phaseRelay.handleRequest(request, callback);
             case "doc" ->
                 callback.accept(findDocument(
                         request.path("epoch").asLong(), request.path("stamp").asText()));
-            case "ping" -> callback.accept(JsonNodeFactory.instance.objectNode().put("touch", isInTouchWithLeader()));
+            case PingCodec.KIND -> callback.accept(PingCodec.encodeControllerResponse(isInTouchWithLeader()));
             case "status" -> callback.accept(status());
             default -> {
                 log.logOnChange(Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unknown");
@@ -899,19 +812,6 @@
         }
     }
 
-    /** A holder asks for a higher fence, and names the term in which it takes this helm for the leader. */
-    private ObjectNode raiseFencingToken(JsonNode request) {
-        long term = request.path("term").asLong();
-        raft.observeTerm(term);
-        if (term == raft.currentTerm()) {
-            singletonRoles.raiseFencingToken(
-                    request.path("key").asText(), request.path("fence").asLong());
-        } else {
-            log.log(Event.STALE_TERM_REJECTED, "kind", "raise", "term", term, "knownTerm", raft.currentTerm());
-        }
-        return JsonNodeFactory.instance.objectNode().put("term", raft.currentTerm());
-    }
-
     private ObjectNode findDocument(long epoch, String stamp) {
         for (ReplicatedState.Version version : List.of(replicatedState.current(), replicatedState.previous())) {
             if (version.epoch() == epoch
