--- a/src/main/java/bramblespool/coordination/configuration/CandidateFactory.java
+++ b/src/main/java/bramblespool/coordination/configuration/CandidateFactory.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * What is decided about a change already: it was committed, or another version than its base is in force. Empty where
-     * it may still be committed.
+     * What is decided about a change already: it was committed, or another version than its base is in force. Empty
+     * where it may still be committed.
      */
     Optional<ChangeOutcome> decidedOutcome(OperatorRequest.ConfigurationChange change) {
         long currentEpoch = replicatedState.current().epoch();
--- a/src/main/java/bramblespool/coordination/configuration/ChangeOutcome.java
+++ b/src/main/java/bramblespool/coordination/configuration/ChangeOutcome.java
@@ -26,7 +26,10 @@
      */
     record Invalid(String faults) implements ChangeOutcome {}
 
-    /** The operator must ask again; whether the change comes into force is not known, or it did not for a passing cause. */
+    /**
+     * The operator must ask again; whether the change comes into force is not known, or it did not for a passing
+     * cause.
+     */
     sealed interface Unknown extends ChangeOutcome {
         /** For the operator and the log. */
         String reason();
--- a/src/main/java/bramblespool/coordination/configuration/CommitPhase.java
+++ b/src/main/java/bramblespool/coordination/configuration/CommitPhase.java
@@ -6,13 +6,13 @@
 /**
  * The phases of a shadow commit in the order in which the leader goes through them.
  *
- * <p>Source: "Shadow Configuration as a Network Management Primitive", section 6.2 (Protocol Operation) and section 6.3
- * (Error Handling and Rollback). The transitions are these:
+ * <p>Source: "Shadow Configuration as a Network Management Primitive", section 6.2 (Protocol Operation) and section
+ * 6.3 (Error Handling and Rollback). The transitions are these:
  *
  * <pre>
- *   TAG_DISTRIBUTION --all acknowledged, decision committed--&gt; TAG_PACKET --latency bound--&gt; SWAP --&gt; MARK_SHADOW_BIT
- *          |
- *          +--an acknowledgement is missing or negative--&gt; ABORT
+ *   TAG_DISTRIBUTION --all acknowledged, decision committed--&gt; TAG_PACKET
+ *   TAG_DISTRIBUTION --an acknowledgement is missing or negative--&gt; ABORT
+ *   TAG_PACKET --latency bound over--&gt; SWAP --&gt; MARK_SHADOW_BIT
  * </pre>
  *
  * <p>Departure from the paper: the decision between phases 1 and 2 is replicated among the controllers and is never
--- a/src/main/java/bramblespool/coordination/configuration/ConfigurationFreshness.java
+++ b/src/main/java/bramblespool/coordination/configuration/ConfigurationFreshness.java
@@ -4,7 +4,6 @@
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.transport.PeerTransport;
-import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.LongSupplier;
@@ -13,9 +12,9 @@
 /**
  * Whether the configuration that a proxy found at its start is up to date (docs/control.md, section 1).
  *
- * <p>It is confirmed once the proxy's gossip store has been compared with a controller in touch with the leader. Where
- * every known controller is silent or out of touch nobody can confirm it: then confirmation is waived, so that the proxy
- * serves with what it found, and it goes on asking. Confined to the event loop.
+ * <p>It is confirmed once the proxy's gossip store has been compared with a controller in touch with the leader.
+ * Where every known controller is silent or out of touch nobody can confirm it: then confirmation is waived, so
+ * that the proxy serves with what it found, and it goes on asking. Confined to the event loop.
  */
 public final class ConfigurationFreshness {
     private enum State {
@@ -88,7 +87,7 @@
             return;
         }
         unavailableControllers.add(controller);
-        Collection<String> knownControllers = controllers.get();
+        Set<String> knownControllers = controllers.get();
         if (unavailableControllers.containsAll(knownControllers)) {
             state = State.WAIVED;
             return;
--- a/src/main/java/bramblespool/coordination/configuration/LeadershipGuard.java
+++ b/src/main/java/bramblespool/coordination/configuration/LeadershipGuard.java
@@ -2,7 +2,10 @@
 
 import java.util.function.BooleanSupplier;
 
-/** Tells callbacks that were registered under one leadership from the present one. Confined to the event loop. */
+/**
+ * Distinguishes callbacks registered under an earlier leadership from those of the present one. Confined to the
+ * event loop.
+ */
 final class LeadershipGuard {
     private long generation;
 
--- a/src/main/java/bramblespool/coordination/configuration/PhaseSender.java
+++ b/src/main/java/bramblespool/coordination/configuration/PhaseSender.java
@@ -7,7 +7,8 @@
 @FunctionalInterface
 public interface PhaseSender {
     /**
-     * Sends a phase. The callback runs once: when all have answered, or after the time limit with the answers there are.
+     * Sends a phase. The callback runs once: when all have answered, or after the time limit with the answers there
+     * are.
      */
     void send(PhaseMessage message, Set<String> proxies, long timeoutMs, Consumer<PhaseAcknowledgements> callback);
 }
--- a/src/main/java/bramblespool/coordination/configuration/RecoveryAction.java
+++ b/src/main/java/bramblespool/coordination/configuration/RecoveryAction.java
@@ -7,9 +7,15 @@
  * failure; here the log says how far the commit had come.
  */
 enum RecoveryAction {
-    /** A candidate was stored and not decided: no operator was told that it is in force, so it may be withdrawn. */
+    /**
+     * A candidate was stored and not decided: no operator got an answer that it is in force, so it may be
+     * withdrawn.
+     */
     ABORT_CANDIDATE,
-    /** A version was decided, and not all phases are over: they run again from TAG PACKET, for proxies repeat them safely. */
+    /**
+     * A version was decided, and not all phases are over: they run again from TAG PACKET, for proxies repeat them
+     * safely.
+     */
     FINISH_COMMIT,
     /** No commit was under way. */
     NONE;
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -18,16 +18,16 @@
 import java.util.function.Supplier;
 
 /**
- * The leader's part in the shadow commit: takes operators' changes, one at a time, through the phases of
- * {@link CommitPhase} ("Shadow Configuration as a Network Management Primitive", sections 6.2 and 6.3).
+ * The leader's part in the shadow commit: takes operators' changes, one at a time, through the phases of {@link
+ * CommitPhase} ("Shadow Configuration as a Network Management Primitive", sections 6.2 and 6.3).
  *
- * <p>Departures from the paper (docs/design.md, docs/control.md): candidate, decision and the last two phases are entries
- * in the controllers' log, so that a new leader takes the commit up. The decision, after phase 1, is the point of no
- * return: the operator is answered then, and nothing is rolled back. A proxy that does not acknowledge phase 1 aborts only
- * the first attempt; the second goes on without it, and it takes the decided version by gossip.
+ * <p>Departures from the paper (docs/design.md, docs/control.md): candidate, decision and the last two phases are
+ * entries in the controllers' log, so that a new leader takes the commit up. The decision, after phase 1, is the
+ * point of no return: the operator is answered then, and nothing is rolled back. A proxy that does not acknowledge
+ * phase 1 aborts only the first attempt; the second goes on without it, and it takes the decided version by gossip.
  *
- * <p>Confined to the event loop. Each change is answered once, unless this controller loses leadership while it aborts the
- * change.
+ * <p>Confined to the event loop. Each change is answered once, unless this controller loses leadership while it
+ * aborts the change.
  */
 public final class ShadowCommitCoordinator {
     private final RaftNode raft;
@@ -44,7 +44,10 @@
     private boolean isBusy;
     private Set<String> unconfirmed = new HashSet<>();
 
-    /** The phases after the decision: which version, which proxies take part, and who missed SWAP or MARK SHADOW BIT. */
+    /**
+     * The phases after the decision: which version, which proxies take part, and who missed SWAP or MARK SHADOW
+     * BIT.
+     */
     private record DecidedCommit(long epoch, Set<String> proxies, Set<String> unresponsive) {
         private DecidedCommit(long epoch, Set<String> proxies) {
             this(epoch, proxies, new HashSet<>());
@@ -105,6 +108,7 @@
                 runPhase(CommitPhase.TAG_PACKET, new DecidedCommit(epoch, members.get()));
             }
             case NONE -> startNext();
+            default -> throw new IllegalStateException("unknown recovery action");
         }
     }
 
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
@@ -6,12 +6,12 @@
 import bramblespool.transport.Clock;
 
 /**
- * A proxy's part in the shadow commit: two installed versions, a two-entry map that says which of them is real and which
- * is shadow, the tags of the commit under way, and how calls are marked.
+ * A proxy's part in the shadow commit: two installed versions, a two-entry map that says which of them is real and
+ * which is shadow, the tags of the commit under way, and how calls are marked.
  *
- * <p>Source: "Shadow Configuration as a Network Management Primitive", section 7.2 (the translation table), sections 6.2
- * and 6.3 (phases, and the return to the normal state where no TAG PACKET comes). The marks on calls are those of
- * docs/design.md: the bit {@code 0} or {@code 1}, or during a commit a {@link VersionTag}.
+ * <p>Source: "Shadow Configuration as a Network Management Primitive", section 7.2 (the translation table),
+ * sections 6.2 and 6.3 (phases, and the return to the normal state where no TAG PACKET comes). The marks on calls
+ * are those of docs/design.md: the bit {@code 0} or {@code 1}, or during a commit a {@link VersionTag}.
  *
  * <p>The real version's number never goes down while the process runs. Confined to the event loop.
  */
@@ -117,7 +117,8 @@
     }
 
     /**
-     * Finds the version that a received mark names. A tag also counts as TAG PACKET (section 6.2: "indirect triggering").
+     * Finds the version that a received mark names. A tag also counts as TAG PACKET (section 6.2: "indirect
+     * triggering").
      *
      * @param mark the mark, or null where the call bears none
      */
--- a/src/main/java/bramblespool/coordination/configuration/TermGuard.java
+++ b/src/main/java/bramblespool/coordination/configuration/TermGuard.java
@@ -15,6 +15,7 @@
     private long highestTerm;
     private long lastRound;
 
+    /** Creates a guard that knows of no leader. */
     public TermGuard(EventLog log) {
         this.log = log;
     }
--- a/src/main/java/bramblespool/coordination/singleton/ClusterClock.java
+++ b/src/main/java/bramblespool/coordination/singleton/ClusterClock.java
@@ -5,14 +5,15 @@
 import java.util.Collection;
 
 /**
- * The time of day that the cluster agrees on: the steady clock and an offset. A controller takes the median of what all
- * controllers say, so that a minority whose clocks jump changes nothing; a proxy takes its controller's. Until anybody has
- * said anything it is the machine's own time of day. Confined to the event loop.
+ * The time of day that the cluster agrees on: the steady clock and an offset. A controller takes the median of what
+ * all controllers say, so that a minority whose clocks jump changes nothing; a proxy takes its controller's. Until
+ * anybody has said anything it is the machine's own time of day. Confined to the event loop.
  */
 public final class ClusterClock {
     private final Clock clock;
     private long offsetMs;
 
+    /** Creates a clock that goes by this machine's own time of day. */
     public ClusterClock(Clock clock) {
         this.clock = clock;
         this.offsetMs = ownOffset();
--- a/src/main/java/bramblespool/coordination/singleton/FencingTokenRenewal.java
+++ b/src/main/java/bramblespool/coordination/singleton/FencingTokenRenewal.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * Gets a singleton role's owner a higher fencing token where the present one has been refused: the owner asks the leader,
- * and the leader assigns the role again. Confined to the event loop.
+ * Gets a singleton role's owner a higher fencing token where the present one has been refused: the owner asks the
+ * leader, and the leader assigns the role again. Confined to the event loop.
  */
 public final class FencingTokenRenewal {
     private final RaftNode raft;
@@ -19,6 +19,7 @@
     private final long callTimeoutMs;
     private final EventLog log;
 
+    /** Creates both ends of the request; {@code callTimeoutMs} bounds a call to the leader. */
     public FencingTokenRenewal(
             RaftNode raft, SingletonRoles singletonRoles, PeerTransport transport, long callTimeoutMs, EventLog log) {
         this.raft = raft;
@@ -46,8 +47,8 @@
     }
 
     /**
-     * Serves a message of kind {@link FencingTokenCodec#KIND}, as the leader. A request that names another term is late or
-     * meant for another leader, and is not followed (docs/control.md, section 1).
+     * Serves a message of kind {@link FencingTokenCodec#KIND}, as the leader. A request that names another term is
+     * late or meant for another leader, and is not followed (docs/control.md, section 1).
      */
     public void handleRequest(JsonNode message, Consumer<ObjectNode> callback) {
         FencingTokenCodec.RaiseRequest request = FencingTokenCodec.decodeRequest(message);
--- a/src/main/java/bramblespool/coordination/singleton/ReportAgreement.java
+++ b/src/main/java/bramblespool/coordination/singleton/ReportAgreement.java
@@ -7,8 +7,8 @@
 import java.util.function.Supplier;
 
 /**
- * Agrees on what a window's report says before anybody sends it: the report is the value of a register of its own, so that
- * whoever sends it again sends the same. Confined to the event loop.
+ * Agrees on what a window's report says before anybody sends it: the report is the value of a register of its own,
+ * so that whoever sends it again sends the same. Confined to the event loop.
  */
 final class ReportAgreement {
     /** Followed by the window's number: ids of the registers. Stored by the acceptors, so it keeps its text. */
--- a/src/main/java/bramblespool/coordination/singleton/ReportedWindows.java
+++ b/src/main/java/bramblespool/coordination/singleton/ReportedWindows.java
@@ -3,7 +3,7 @@
 import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
 
-/** Up to which window usage has been reported, as owners tell each other by gossip. Confined to the event loop. */
+/** Up to which window usage has been reported, as the owners publish it by gossip. Confined to the event loop. */
 final class ReportedWindows {
     private static final long UNKNOWN = -1;
 
@@ -36,7 +36,7 @@
         return lastReported + 1;
     }
 
-    /** The platform has taken a window's report; whoever owns the role next is told. */
+    /** The platform has taken a window's report; later owners learn of it by gossip. */
     void onReported(long window, long fencingToken) {
         lastReported = Math.max(lastReported, window);
         gossip.publish(GossipKeys.REPORTED_USAGE_KEY, fencingToken, window, UsageCodec.encodeReportedWindow(window));
--- a/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
+++ b/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
@@ -11,9 +11,9 @@
 import java.util.function.Supplier;
 
 /**
- * Assigns the singleton roles, as the leader: each role is owned by one live controller. An assignment is an entry in
- * the replicated log, and its index is the role's fencing token, so that the token rises each time a role changes hands.
- * Confined to the event loop.
+ * Assigns the singleton roles, as the leader: each role is owned by one live controller. An assignment is an entry
+ * in the replicated log, and its index is the role's fencing token, so that the token rises each time a role
+ * changes hands. Confined to the event loop.
  */
 public final class SingletonRoles {
     private final RaftNode raft;
@@ -25,8 +25,8 @@
 
     /**
      * @param roleKeys keys of all roles there are
-     * @param requiresLease whether the owner of a role acts only while it holds its voter lease; such a role is taken away
-     *     as soon as the lease has lapsed
+     * @param requiresLease whether the owner of a role acts only while it holds its voter lease; such a role is
+     *     taken away as soon as the lease has lapsed
      */
     public SingletonRoles(
             RaftNode raft,
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Assigns a role to its present owner again, under a higher fencing token. Does nothing where this controller does not
-     * lead, or the token named is not the present one.
+     * Assigns a role to its present owner again, under a higher fencing token. Does nothing where this controller
+     * does not lead, or the token named is not the present one.
      */
     public void raiseFencingToken(String key, long fencingToken) {
         ReplicatedState.SingletonRole role = replicatedState.singletonRoles().get(key);
--- a/src/main/java/bramblespool/coordination/singleton/UsageCodec.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageCodec.java
@@ -10,8 +10,8 @@
 import java.util.OptionalLong;
 
 /**
- * The JSON form of everything about usage: messages between processes, the gossip entry, and the report as it stands in a
- * register and goes to the platform. Kinds and field names are those of version 0.4.0 and must stay.
+ * The JSON form of everything about usage: messages between processes, the gossip entry, and the report as it
+ * stands in a register and goes to the platform. Kinds and field names are those of version 0.4.0 and must stay.
  */
 public final class UsageCodec {
     /** Kind of the question for a controller's time of day. */
@@ -38,7 +38,7 @@
 
     private UsageCodec() {}
 
-    /** Encodes what a proxy tells with the renewal of its session. */
+    /** Encodes what a proxy reports with the renewal of its session. */
     public static ObjectNode encodeUpdate(UsageUpdate update) {
         ObjectNode node = JsonNodeFactory.instance
                 .objectNode()
@@ -50,7 +50,7 @@
         return node;
     }
 
-    /** Decodes what a proxy tells with the renewal of its session. */
+    /** Decodes what a proxy reports with the renewal of its session. */
     static UsageUpdate decodeUpdate(JsonNode node) {
         Map<Long, Map<String, Integer>> runsByWindow = new LinkedHashMap<>();
         node.path(WINDOWS)
--- a/src/main/java/bramblespool/coordination/singleton/UsageCollector.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageCollector.java
@@ -7,7 +7,10 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** What the proxies with a session here have told of their usage, by process and window. Confined to the event loop. */
+/**
+ * What the proxies with a session here have reported of their usage, by process and window. Confined to the event
+ * loop.
+ */
 final class UsageCollector {
     /** Windows kept beyond those that may still be asked for, as a proxy's clock may be ahead. */
     private static final int EXTRA_WINDOWS = 2;
--- a/src/main/java/bramblespool/coordination/singleton/UsageCounter.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageCounter.java
@@ -7,8 +7,8 @@
 
 /**
  * Counts the runs that begin at a proxy's servers, by window and tenant. The proxy's controller is sent sums, not
- * differences, so that an update may arrive twice; a window is sent again until the controller that holds the session has
- * it as it stands. Confined to the event loop.
+ * differences, so that an update may arrive twice; a window is sent again until the controller that holds the
+ * session has it as it stands. Confined to the event loop.
  */
 public final class UsageCounter {
     /** Changes are numbered from 1. */
--- a/src/main/java/bramblespool/coordination/singleton/UsageReporter.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageReporter.java
@@ -16,12 +16,12 @@
 import java.util.function.Supplier;
 
 /**
- * Reports usage to the platform, window by window, while this controller owns that singleton role; and as every controller
- * collects what its proxies tell of their usage.
+ * Reports usage to the platform, window by window, while this controller owns that singleton role; and as every
+ * controller collects what its proxies report of their usage.
  *
- * <p>One window at a time: the report is agreed on ({@link ReportAgreement}), then sent ({@link ReportSender}) under the
- * role's fencing token ({@link UsageRole}). A window is sent until the platform takes it, with growing pauses; the
- * windows behind it wait, and are given up when they are too late. Confined to the event loop.
+ * <p>One window at a time: the report is agreed on ({@link ReportAgreement}), then sent ({@link ReportSender})
+ * under the role's fencing token ({@link UsageRole}). A window is sent until the platform takes it, with growing
+ * pauses; the windows behind it wait, and are given up when they are too late. Confined to the event loop.
  */
 public final class UsageReporter {
     /** Rounds of this role within a window. */
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Takes the usage that a proxy tells with the renewal of its session.
+     * Takes the usage that a proxy reports with the renewal of its session.
      *
      * @param request the proxy's {@link UsageUpdate}
      * @param response the answer to the renewal, into which the receipt is written
--- a/src/main/java/bramblespool/coordination/singleton/UsageRole.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageRole.java
@@ -8,8 +8,9 @@
 import java.util.Optional;
 
 /**
- * Whether this controller owns the role of reporting usage, and under which fencing token. The token comes from the log,
- * not from a register: it must never start over, and registers are forgotten in time. Confined to the event loop.
+ * Whether this controller owns the role of reporting usage, and under which fencing token. The token comes from the
+ * log, not from a register: it must never start over, and registers are forgotten in time. Confined to the event
+ * loop.
  */
 final class UsageRole {
     /** Fencing tokens are log indexes, which begin at 1. */
--- a/src/main/java/bramblespool/coordination/singleton/UsageStatus.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageStatus.java
@@ -7,6 +7,6 @@
  * @param fencingToken the owner's token, or 0
  * @param oldestWindow the first window that is not known to be reported
  * @param currentWindow the window that runs
- * @param processes how many proxy processes this controller has heard from
+ * @param processes how many proxy processes have reported usage to this controller
  */
 record UsageStatus(String owner, long fencingToken, long oldestWindow, long currentWindow, int processes) {}
--- a/src/main/java/bramblespool/coordination/singleton/UsageUpdate.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageUpdate.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * What a proxy tells its controller about the runs that began at its servers.
+ * What a proxy reports to its controller about the runs that began at its servers.
  *
  * @param incarnation the proxy's process; sums of different processes add up
  * @param finalBeforeWindow the sums of all windows before this one are final
--- a/src/main/java/bramblespool/coordination/singleton/UsageWindows.java
+++ b/src/main/java/bramblespool/coordination/singleton/UsageWindows.java
@@ -3,8 +3,8 @@
 import bramblespool.state.Settings;
 
 /**
- * Arithmetic of the windows for which usage is reported. Window number n begins at n times the window's length after the
- * epoch, by the {@link ClusterClock}.
+ * Arithmetic of the windows for which usage is reported. Window number n begins at n times the window's length
+ * after the epoch, by the {@link ClusterClock}.
  *
  * @param windowMs a window's length
  * @param lateMs the rule {@code usageLate}: how long after its end a window may be reported
@@ -17,6 +17,7 @@
     /** The window that runs, and the one that has just ended. */
     private static final int OPEN_WINDOWS = 2;
 
+    /** The windows of the platform's rules. */
     public static UsageWindows of(Settings.UsageReporting settings) {
         return new UsageWindows(settings.reportWindowMs(), settings.usageLateMs());
     }
--- a/src/main/java/bramblespool/coordination/singleton/WindowReport.java
+++ b/src/main/java/bramblespool/coordination/singleton/WindowReport.java
@@ -3,7 +3,7 @@
 import java.util.SortedMap;
 
 /**
- * What the platform is told about a window.
+ * What is reported to the platform about a window.
  *
  * @param window the window's number
  * @param runsByTenant runs that began in it, by tenant
--- a/src/test/java/bramblespool/coordination/configuration/ShadowCommitParticipantTest.java
+++ b/src/test/java/bramblespool/coordination/configuration/ShadowCommitParticipantTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One weft's side of the shadow commit. */
+/** A proxy's part in the shadow commit. */
 class ShadowCommitParticipantTest {
     private final Simulator simulator = new Simulator(1);
     private ShadowCommitParticipant participant;
@@ -86,7 +86,7 @@
         participant.revert(7, configuration(7).stamp);
         assertEquals(7, participant.epoch());
         participant.adopt(configuration(6), true);
-        assertEquals(7, participant.epoch(), "never back within a life");
+        assertEquals(7, participant.epoch(), "never back within a process");
     }
 
     /** Two changes of one number: the one kept from an aborted commit is not the one that was decided. */
