--- a/src/main/java/bramblespool/process/ControllerProcess.java
+++ b/src/main/java/bramblespool/process/ControllerProcess.java
@@ -7,8 +7,8 @@
 import bramblespool.state.CompressedDocument;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
-import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.state.SqliteDurableStore;
 import bramblespool.transport.BodyStream;
@@ -72,7 +72,7 @@
         listeners.listen(settings.peerAddress(), transport, listenerOptions);
         listeners.listen(settings.controlAddress(), this::handleOperatorRequest, listenerOptions);
         controllerNode.start();
-        log.log(Event.READY, "member", controllerNode.raft.localId());
+        log.log(Event.READY, "member", controllerNode.raft().localId());
     }
 
     /** With a damaged store this helm is of no use until it starts anew, as a new member. */
@@ -97,8 +97,8 @@
             Replies.sendJson(exchange, 404, errorJson("no such call"));
         } else if (isRead ? !isGet : !isPost) {
             Replies.sendJson(exchange, 405, errorJson("wrong method"));
-        } else if (!controllerNode.raft.isLeader()) {
-            String leader = controllerNode.raft.leaderControlAddress();
+        } else if (!controllerNode.raft().isLeader()) {
+            String leader = controllerNode.raft().leaderControlAddress();
             if (leader == null) {
                 sendUnavailable(exchange, "no leader is known");
             } else {
@@ -158,7 +158,7 @@
     private void sendConfiguration(HttpServerExchange exchange, ReplicatedState.Version version) {
         try {
             Replies.sendJson(exchange, 200, CompressedDocument.decompress(version.compressedDocument()));
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -167,7 +167,7 @@
         OperatorRequest.ConfigurationChange change;
         try {
             change = OperatorRequest.parseChange(isAmendment, body);
-        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+        } catch (InvalidConfigurationException e) {
             Replies.sendJson(exchange, 400, errorJson(e.getMessage()));
             return;
         }
