--- a/src/main/java/bramblespool/cli/Commands.java
+++ b/src/main/java/bramblespool/cli/Commands.java
@@ -2,8 +2,11 @@
 
 import bramblespool.state.EventLog;
 import bramblespool.state.InvalidConfigurationException;
+import bramblespool.state.InvalidSettingsException;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -135,16 +138,16 @@
         public Integer call() {
             try {
                 if (file.toString().endsWith(".toml")) {
-                    Settings settings = Settings.read(file);
+                    Settings settings = SettingsParser.read(file);
                     System.out.println(file + ": settings of " + settings.node() + ", fit for use");
                 } else {
-                    RoutingConfiguration configuration = RoutingConfiguration.compile(Files.readString(file));
+                    RoutingConfiguration configuration = RoutingConfigurationParser.parse(Files.readString(file));
                     System.out.println(
-                            file + ": configuration " + configuration.epoch + " with " + configuration.routeCount
-                                    + " routes and " + configuration.services.size() + " services, fit for use");
+                            file + ": configuration " + configuration.epoch() + " with " + configuration.routeCount()
+                                    + " routes and " + configuration.serviceCount() + " services, fit for use");
                 }
                 return ProcessLauncher.EXIT_OK;
-            } catch (Settings.InvalidSettingsException e) {
+            } catch (InvalidSettingsException e) {
                 System.err.println("bramblespool: " + e.getMessage());
             } catch (InvalidConfigurationException e) {
                 System.err.println("bramblespool: " + file + ": " + e.getMessage());
--- a/src/main/java/bramblespool/cli/ProcessLauncher.java
+++ b/src/main/java/bramblespool/cli/ProcessLauncher.java
@@ -6,7 +6,9 @@
 import bramblespool.process.SidecarProcess;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.InvalidSettingsException;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import bramblespool.transport.EventLoop;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -49,15 +51,15 @@
     static int run(String role, Path settingsFile, EventLog.Level level) {
         Settings settings;
         try {
-            settings = Settings.read(settingsFile);
+            settings = SettingsParser.read(settingsFile);
             String expectedClass = MACHINE_CLASSES.get(role);
             if (!settings.machineClass().equals(expectedClass)) {
-                throw new Settings.InvalidSettingsException(
+                throw new InvalidSettingsException(
                         settingsFile.toString(),
                         java.util.List.of("machineClass: a " + role + " runs on '" + expectedClass
                                 + "' machines, not on '" + settings.machineClass() + "'"));
             }
-        } catch (Settings.InvalidSettingsException e) {
+        } catch (InvalidSettingsException e) {
             System.err.println("bramblespool: " + e.getMessage());
             return EXIT_INVALID;
         }
@@ -123,9 +125,9 @@
     private void reload() {
         lastModified = modificationTime();
         try {
-            process.updateSettings(Settings.read(settingsFile));
+            process.updateSettings(SettingsParser.read(settingsFile));
             log.log(Event.SETTINGS_RELOADED);
-        } catch (Settings.InvalidSettingsException e) {
+        } catch (InvalidSettingsException e) {
             log.log(Event.SETTINGS_INVALID, "cause", e.getMessage());
         }
     }
--- a/src/main/java/bramblespool/cli/SelfTest.java
+++ b/src/main/java/bramblespool/cli/SelfTest.java
@@ -7,6 +7,7 @@
 import bramblespool.protocol.HeaderNames;
 import bramblespool.state.EventLog;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import bramblespool.transport.BodyStream;
 import bramblespool.transport.EventLoop;
 import bramblespool.transport.Listeners;
@@ -147,7 +148,7 @@
                 Listeners.listenerOptions(1 << 16, 1 << 20, 10_000, 10_000));
         String platformToml =
                 "[platform]\naddress = \"" + addressOf(8) + "\"\nduties = [\"metering\"]\ndutyPerS = 10.0\n";
-        Settings controllerSettings = Settings.parse(
+        Settings controllerSettings = SettingsParser.parse(
                 settingsToml(
                         "core",
                         "helm-1",
@@ -155,7 +156,7 @@
                         "dataDir = \"" + dataDirectory + "\"\n" + platformToml + "[listeners]\ncontrol = \""
                                 + addressOf(2) + "\""),
                 "rehearsal");
-        Settings sidecarSettings = Settings.parse(
+        Settings sidecarSettings = SettingsParser.parse(
                 settingsToml(
                         "sidecar",
                         "weft-1",
@@ -217,7 +218,7 @@
                                 + "\",\"epoch\":\"v1\",\"capacity\":4,\"state\":\"ready\",\"warmupLeft\":\"0ms\"}]},"
                                 + "\"nextToken\":null}"),
                 Listeners.listenerOptions(1 << 16, 1 << 20, 10_000, 10_000));
-        Settings controllerSettings = Settings.parse(
+        Settings controllerSettings = SettingsParser.parse(
                 settingsToml(
                                 "core",
                                 "helm-2",
@@ -226,7 +227,7 @@
                                         + GATEWAY_CONTROLLER_IP + ":" + reservedPorts[2] + "\"")
                         .replace(addressOf(2), GATEWAY_CONTROLLER_IP + ":" + reservedPorts[2]),
                 "rehearsal");
-        Settings gatewaySettings = Settings.parse(
+        Settings gatewaySettings = SettingsParser.parse(
                 settingsToml(
                                 "edge",
                                 "hem-1",
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -8,6 +8,7 @@
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.transport.Clock;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -33,7 +34,7 @@
         private static final long MS_PER_ROUTE = 1;
 
         long distributeTimeoutMs(RoutingConfiguration configuration) {
-            return distributeMs + configuration.routeCount * MS_PER_ROUTE;
+            return distributeMs + configuration.routeCount() * MS_PER_ROUTE;
         }
 
         public static PhaseTimeouts of(long ackMs, long applyMs) {
@@ -152,12 +153,13 @@
         RoutingConfiguration configuration;
         try {
             JsonObject document = change.applyTo(currentConfiguration());
-            configuration = RoutingConfiguration.compile(document, CompressedDocument.compress(document.toString()));
+            configuration =
+                    RoutingConfigurationParser.parse(document, CompressedDocument.compress(document.toString()));
         } catch (InvalidConfigurationException e) {
             confirmAndAnswer(pending, OperatorRequest.Result.invalid(e.getMessage()));
             return;
         }
-        if (configuration.epoch <= replicatedState.current().epoch()) {
+        if (configuration.epoch() <= replicatedState.current().epoch()) {
             confirmAndAnswer(
                     pending,
                     OperatorRequest.Result.invalid(
@@ -167,16 +169,16 @@
         isBusy = true;
         long generation = leadershipGeneration;
         ObjectNode e = ReplicatedState.entry("candidate")
-                .put("epoch", configuration.epoch)
+                .put("epoch", configuration.epoch())
                 .put("base", change.baseVersion())
                 .put("digest", change.digest())
-                .put("doc", configuration.compressedDocument);
+                .put("doc", configuration.compressedDocument());
         raft.propose(e, ok -> {
             if (!ok || generation != leadershipGeneration) {
                 pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
                 return;
             }
-            log.log(Event.CONFIGURATION_CANDIDATE_STORED, "epoch", configuration.epoch, "base", change.baseVersion());
+            log.log(Event.CONFIGURATION_CANDIDATE_STORED, "epoch", configuration.epoch(), "base", change.baseVersion());
             compiledConfiguration = configuration;
             distribute(pending, configuration, members.get(), MAX_ATTEMPTS);
         });
@@ -224,8 +226,8 @@
         if (version.compressedDocument() == null) {
             return null;
         }
-        if (compiledConfiguration == null || compiledConfiguration.epoch != version.epoch()) {
-            compiledConfiguration = RoutingConfiguration.compileCompressed(version.compressedDocument());
+        if (compiledConfiguration == null || compiledConfiguration.epoch() != version.epoch()) {
+            compiledConfiguration = RoutingConfigurationParser.parseCompressed(version.compressedDocument());
         }
         return compiledConfiguration;
     }
@@ -247,16 +249,16 @@
         long generation = leadershipGeneration;
         long timeoutMs = timeouts.distributeTimeoutMs(configuration);
         ObjectNode message = phaseMessage(
-                        1, replicatedState.current().epoch(), configuration.epoch, configuration.stamp)
+                        1, replicatedState.current().epoch(), configuration.epoch(), configuration.stamp())
                 .put("open", timeoutMs * attemptsLeft)
-                .put("doc", configuration.compressedDocument);
+                .put("doc", configuration.compressedDocument());
         phaseSender.sendPhase(message, proxies, timeoutMs, acknowledgements -> {
             if (generation != leadershipGeneration) {
                 pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
                 return;
             }
             if (!acknowledgements.rejected.isEmpty()) {
-                abort(configuration.epoch, configuration.stamp, "refused by " + acknowledgements.rejected, () -> {
+                abort(configuration.epoch(), configuration.stamp(), "refused by " + acknowledgements.rejected, () -> {
                     pending.callback.accept(OperatorRequest.Result.unknown("refused by " + acknowledgements.rejected));
                     startNext();
                 });
@@ -269,13 +271,13 @@
                 return;
             }
             // The try without the silent ones: the others go back first, then the tags are given out anew.
-            log.log(Event.COMMIT_UNCONFIRMED, "epoch", configuration.epoch, "proxies", unresponsive);
+            log.log(Event.COMMIT_UNCONFIRMED, "epoch", configuration.epoch(), "proxies", unresponsive);
             if (attemptsLeft <= 1) {
                 decide(pending, configuration, acknowledgements.confirmed);
                 return;
             }
             phaseSender.sendPhase(
-                    phaseMessage(0, replicatedState.current().epoch(), configuration.epoch, configuration.stamp),
+                    phaseMessage(0, replicatedState.current().epoch(), configuration.epoch(), configuration.stamp()),
                     acknowledgements.confirmed,
                     timeouts.phaseMs,
                     ignored -> {
@@ -308,16 +310,16 @@
         long generation = leadershipGeneration;
         unconfirmed = new HashSet<>(members.get());
         unconfirmed.removeAll(confirmed);
-        raft.propose(ReplicatedState.entry("decide").put("epoch", configuration.epoch), ok -> {
+        raft.propose(ReplicatedState.entry("decide").put("epoch", configuration.epoch()), ok -> {
             if (!ok || !replicatedState.isCommitted(pending.change.digest())) {
                 pending.callback.accept(OperatorRequest.Result.unknown("the lead was lost"));
                 return;
             }
-            log.log(Event.COMMIT_DECIDED, "epoch", configuration.epoch);
-            pending.callback.accept(OperatorRequest.Result.accepted(configuration.epoch));
+            log.log(Event.COMMIT_DECIDED, "epoch", configuration.epoch());
+            pending.callback.accept(OperatorRequest.Result.accepted(configuration.epoch()));
             answerDecidedChanges();
             if (generation == leadershipGeneration) {
-                sendTagPacket(configuration.epoch, confirmed);
+                sendTagPacket(configuration.epoch(), confirmed);
             }
         });
     }
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
@@ -51,7 +51,7 @@
     }
 
     public long epoch() {
-        return realConfiguration() == null ? 0 : realConfiguration().epoch;
+        return realConfiguration() == null ? 0 : realConfiguration().epoch();
     }
 
     public boolean isTagging() {
@@ -111,7 +111,7 @@
 
     /** Phase 1, which may stay open so long for others. Answers null when recorded, or why not. */
     public String prepareCandidate(long oldEpoch, long newEpoch, RoutingConfiguration candidate, long openForMs) {
-        if (realConfiguration() != null && realConfiguration().matches(newEpoch, candidate.stamp)) {
+        if (realConfiguration() != null && realConfiguration().matches(newEpoch, candidate.stamp())) {
             return null;
         }
         if (epoch() != oldEpoch) {
@@ -123,7 +123,7 @@
         isTagging = false;
         isSwapped = false;
         cancelRevertTimer();
-        revertTimer = clock.schedule(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp));
+        revertTimer = clock.schedule(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp()));
         return null;
     }
 
@@ -187,20 +187,21 @@
 
     /** A decided version taken directly by a weft that missed its commit. Never goes back. */
     public void adopt(RoutingConfiguration decided, boolean isMarked) {
-        if (decided.epoch <= epoch()) {
+        if (decided.epoch() <= epoch()) {
             return;
         }
         cancelRevertTimer();
         installed[1 - realSlot] = decided;
         realSlot = 1 - realSlot;
-        taggedOldEpoch = shadowConfiguration() == null ? -1 : shadowConfiguration().epoch;
-        taggedNewEpoch = decided.epoch;
+        taggedOldEpoch =
+                shadowConfiguration() == null ? -1 : shadowConfiguration().epoch();
+        taggedNewEpoch = decided.epoch();
         isTagging = true;
         isSwapped = true;
         if (isMarked) {
-            markShadowBit(decided.epoch, decided.stamp);
+            markShadowBit(decided.epoch(), decided.stamp());
         }
-        log.log(Event.CONFIGURATION_ADOPTED, "epoch", decided.epoch, "trigger", "adopted");
+        log.log(Event.CONFIGURATION_ADOPTED, "epoch", decided.epoch(), "trigger", "adopted");
         changeListener.run();
     }
 
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -19,6 +19,7 @@
 import bramblespool.state.EventLog.Event;
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
 import bramblespool.transport.PeerTransport;
@@ -407,7 +408,7 @@
                 response -> {
                     if (response != null && response.path("doc").isTextual()) {
                         try {
-                            RoutingConfiguration fetched = RoutingConfiguration.compileCompressed(
+                            RoutingConfiguration fetched = RoutingConfigurationParser.parseCompressed(
                                     response.path("doc").asText());
                             if (fetched.matches(epoch, stamp)) {
                                 shadowCommit.adopt(fetched, isMarked);
@@ -547,7 +548,7 @@
         RoutingConfiguration configuration = shadowCommit.realConfiguration();
         return configuration == null || !configuration.matches(epoch, stamp)
                 ? null
-                : JsonNodeFactory.instance.objectNode().put("doc", configuration.compressedDocument);
+                : JsonNodeFactory.instance.objectNode().put("doc", configuration.compressedDocument());
     }
 
     private ObjectNode applyPhase(JsonNode request) {
@@ -564,7 +565,7 @@
             }
             case 1 -> {
                 try {
-                    RoutingConfiguration candidate = RoutingConfiguration.compileCompressed(
+                    RoutingConfiguration candidate = RoutingConfigurationParser.parseCompressed(
                             request.path("doc").asText());
                     String rejection = shadowCommit.prepareCandidate(
                             request.path("old").asLong(),
@@ -618,7 +619,7 @@
         var servers = status.putArray("servers");
         admissions.serverIds().forEach(servers::add);
         if (shadowCommit.shadowConfiguration() != null) {
-            status.put("shadow", shadowCommit.shadowConfiguration().epoch);
+            status.put("shadow", shadowCommit.shadowConfiguration().epoch());
         }
         return status;
     }
--- a/src/main/java/bramblespool/coordination/traffic/ServerAdmissions.java
+++ b/src/main/java/bramblespool/coordination/traffic/ServerAdmissions.java
@@ -62,7 +62,7 @@
     }
 
     private void configureSlowStart(ServerAdmission admission) {
-        Service service = activeConfiguration == null ? null : activeConfiguration.services.get(admission.target());
+        Service service = activeConfiguration == null ? null : activeConfiguration.service(admission.target());
         admission.configureSlowStart(
                 service == null ? 0 : service.slowStartRatePerSecond(), service == null ? 0 : service.slowStartMs());
     }
--- a/src/main/java/bramblespool/process/ProxyProcess.java
+++ b/src/main/java/bramblespool/process/ProxyProcess.java
@@ -131,8 +131,8 @@
     private void handleClientRequest(HttpServerExchange exchange) throws Exception {
         RoutingConfiguration configuration = dataPlaneNode.shadowCommit.realConfiguration();
         if (configuration != null) {
-            exchange.setMaxEntitySize(configuration.limits.bodyBytes());
-            idleConnections.setIdleLimit(configuration.limits.idleTimeoutMs());
+            exchange.setMaxEntitySize(configuration.limits().bodyBytes());
+            idleConnections.setIdleLimit(configuration.limits().idleTimeoutMs());
         }
         // Should its body break off, this is what the exchange ends with; every other end says its own.
         exchange.setStatusCode(StatusCodes.BAD_REQUEST);
@@ -160,8 +160,8 @@
      */
     private void refreshConfiguration() {
         RoutingConfiguration configuration = dataPlaneNode.shadowCommit.realConfiguration();
-        if (configuration != null && !configuration.limits.equals(limits)) {
-            limits = configuration.limits;
+        if (configuration != null && !configuration.limits().equals(limits)) {
+            limits = configuration.limits();
             clientListener.setUndertowOptions(clientListenerOptions());
             idleConnections.setIdleLimit(limits.idleTimeoutMs());
         }
@@ -170,7 +170,7 @@
         }
         if (dataPlaneNode.isReady() && !isReadyLogged) {
             isReadyLogged = true;
-            log.log(Event.READY, "epoch", configuration.epoch);
+            log.log(Event.READY, "epoch", configuration.epoch());
         }
     }
 
--- a/src/main/java/bramblespool/process/SidecarProcess.java
+++ b/src/main/java/bramblespool/process/SidecarProcess.java
@@ -45,7 +45,7 @@
 
     /** After a restart the server may have been running all along, and its next beat is some way off: it is asked once. */
     private void probeServer(RoutingConfiguration configuration) {
-        Service service = configuration.services.get(settings.serviceName());
+        Service service = configuration.service(settings.serviceName());
         if (service == null) {
             return;
         }
--- a/src/main/java/bramblespool/protocol/Heartbeat.java
+++ b/src/main/java/bramblespool/protocol/Heartbeat.java
@@ -2,7 +2,7 @@
 
 import bramblespool.state.DocumentReader;
 import bramblespool.state.InvalidConfigurationException;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.StrictJson;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -41,7 +41,7 @@
 
     public static Heartbeat parse(String id, byte[] body) throws InvalidConfigurationException {
         List<String> faults = new ArrayList<>();
-        DocumentReader fields = new DocumentReader(RoutingConfiguration.parseDocument(body), "", faults);
+        DocumentReader fields = new DocumentReader(StrictJson.parseObject(body), "", faults);
         String state = fields.serverState("state");
         Heartbeat heartbeat = new Heartbeat(
                 id,
--- a/src/main/java/bramblespool/protocol/OperatorRequest.java
+++ b/src/main/java/bramblespool/protocol/OperatorRequest.java
@@ -2,6 +2,7 @@
 
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.StrictJson;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonPrimitive;
 import java.security.MessageDigest;
@@ -51,7 +52,7 @@
 
     public static ConfigurationChange parseChange(boolean isAmendment, byte[] body)
             throws InvalidConfigurationException {
-        JsonObject document = RoutingConfiguration.parseDocument(body);
+        JsonObject document = StrictJson.parseObject(body);
         if (!document.has("epoch") || !isWholeNumber(document, "epoch")) {
             throw new InvalidConfigurationException(List.of("epoch: must be a whole number"));
         }
--- a/src/main/java/bramblespool/protocol/RegistryPage.java
+++ b/src/main/java/bramblespool/protocol/RegistryPage.java
@@ -2,7 +2,7 @@
 
 import bramblespool.state.DocumentReader;
 import bramblespool.state.InvalidConfigurationException;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.StrictJson;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -51,7 +51,7 @@
 
     /** Checks a page whole: nothing is taken from one with a fault. */
     public static RegistryPage parse(byte[] body) throws InvalidConfigurationException {
-        JsonObject tree = RoutingConfiguration.parseDocument(body);
+        JsonObject tree = StrictJson.parseObject(body);
         List<String> faults = new ArrayList<>();
         List<RegisteredServer> servers = new ArrayList<>();
         Set<String> ids = new HashSet<>();
--- a/src/main/java/bramblespool/proxy/OutboundHandler.java
+++ b/src/main/java/bramblespool/proxy/OutboundHandler.java
@@ -140,7 +140,7 @@
             Replies.sendUnavailable(exchange, connectionOptions.connectTimeoutMs(), "no configuration yet");
             return;
         }
-        if (exchange.getRequestContentLength() > configuration.limits.bodyBytes()) {
+        if (exchange.getRequestContentLength() > configuration.limits().bodyBytes()) {
             Replies.sendTextAndClose(exchange, 413, "body too large");
             return;
         }
@@ -281,14 +281,14 @@
             Tenant limitedTenant = tenant != null && tenant.ratePerSecond() > 0 ? tenant : null;
             String tenantName = tenant == null ? "" : tenant.name();
             if (!route.isKeyed()) {
-                return new RequestAdmission.AdmissionRequest(tenantName, limitedTenant, configuration.epoch, null, 0);
+                return new RequestAdmission.AdmissionRequest(tenantName, limitedTenant, configuration.epoch(), null, 0);
             }
             // Without a tenant a key is one among those of the service that calls.
             String keyOwner = tenant == null ? "~" + localService : tenantName;
             return new RequestAdmission.AdmissionRequest(
                     keyOwner,
                     limitedTenant,
-                    configuration.epoch,
+                    configuration.epoch(),
                     admissionClient.registerId(
                             keyOwner, exchange.getRequestHeaders().getFirst(HeaderNames.OPERATION_KEY)),
                     admissionClient.fingerprint(
@@ -347,7 +347,7 @@
 
         /** Whether the service keeps its own record of keys, so that a run that broke off may be asked for again. */
         private boolean deduplicatesKeys() {
-            Service serviceConfiguration = configuration.services.get(service);
+            Service serviceConfiguration = configuration.service(service);
             return serviceConfiguration != null && serviceConfiguration.deduplicatesItself();
         }
 
--- a/src/main/java/bramblespool/state/EventLog.java
+++ b/src/main/java/bramblespool/state/EventLog.java
@@ -3,16 +3,25 @@
 import java.io.PrintStream;
 import java.util.EnumMap;
 
-/** Numbered events on standard error; docs/log-events.md is the catalogue, and a test compares the two. */
+/**
+ * Writes numbered events, a line each; docs/log-events.md is the catalogue, and a test compares the two. A line has the
+ * level, the event's number and name, the node and pairs of field and value. Safe on any thread, save
+ * {@link #logOnChange}, which is confined to one.
+ */
 public final class EventLog {
+    /** How much an event matters, the most urgent first. */
     public enum Level {
+        /** Something is broken, and people are to look. */
         ERROR,
+        /** Something is not as it should be, and the program copes. */
         WARN,
+        /** A change worth knowing. */
         INFO,
+        /** Detail, for somebody who looks into something. */
         DEBUG
     }
 
-    /** Every event the programs can write. The number is for good: numbers are not given out again. */
+    /** Every event that the programs can write. A number is never given to another event. */
     public enum Event {
         STARTED(101, Level.INFO),
         READY(102, Level.INFO),
@@ -77,43 +86,65 @@
         STALE_TERM_REJECTED(611, Level.WARN),
         STALE_ROUND_REJECTED(612, Level.INFO),
         ATTEMPT_FAILED(701, Level.DEBUG),
+        BAD_REQUEST(703, Level.DEBUG),
         ADMISSION_UNAVAILABLE(704, Level.DEBUG),
-        IDEMPOTENCY_KEY_IN_USE(705, Level.DEBUG),
-        BAD_REQUEST(703, Level.DEBUG);
+        IDEMPOTENCY_KEY_IN_USE(705, Level.DEBUG);
 
-        public final int number;
-        public final Level level;
+        private final int number;
+        private final Level level;
 
         Event(int number, Level level) {
             this.number = number;
             this.level = level;
         }
+
+        /** The number that stands in the log, after a B. */
+        public int number() {
+            return number;
+        }
+
+        /** The level. */
+        public Level level() {
+            return level;
+        }
     }
 
+    /** Room for most lines. */
+    private static final int LINE_CHARS = 96;
+
+    private static final int MAX_STACK_FRAMES = 8;
+
     private final String node;
+    /** Null where nothing is to be written. */
     private final PrintStream out;
-    private Level threshold;
+
+    private final Level threshold;
+    /** The cause that each event was last logged with by {@link #logOnChange}. */
     private final EnumMap<Event, String> lastCauses = new EnumMap<>(Event.class);
 
+    /** A log of events at the threshold or above, each with the name of this node. */
     public EventLog(String node, PrintStream out, Level threshold) {
         this.node = node;
         this.out = out;
         this.threshold = threshold;
     }
 
+    /** A log that writes nothing. */
     public static EventLog silent() {
         return new EventLog("", null, Level.ERROR);
     }
 
+    /** Whether the event would be written: to be asked where its fields are costly. */
     public boolean isEnabled(Event event) {
         return out != null && event.level.ordinal() <= threshold.ordinal();
     }
 
+    /** Writes an event. {@code fields}: names and values in turn; line ends in a value become spaces. */
     public void log(Event event, Object... fields) {
         if (!isEnabled(event)) {
             return;
         }
-        StringBuilder line = new StringBuilder(96)
+        StringBuilder line = new StringBuilder(LINE_CHARS)
                 .append(event.level)
                 .append(" B")
                 .append(event.number)
@@ -130,17 +161,18 @@
         out.println(line);
     }
 
-    /** Says it only when the cause differs from the last one said for this event. */
+    /** Writes an event only where its cause is another one than the last time. */
     public void logOnChange(Event event, String cause, Object... fields) {
         if (!cause.equals(lastCauses.put(event, cause))) {
             log(event, fields);
         }
     }
 
+    /** Writes an error that should never happen, with the innermost frames of its stack. */
     public void logUnexpected(Throwable failure) {
         StackTraceElement[] frames = failure.getStackTrace();
         StringBuilder location = new StringBuilder();
-        for (int i = 0; i < Math.min(8, frames.length); i++) {
+        for (int i = 0; i < Math.min(MAX_STACK_FRAMES, frames.length); i++) {
             location.append(i == 0 ? "" : " < ").append(frames[i]);
         }
         log(Event.INTERNAL_ERROR, "error", failure, "stack", location);
--- a/src/test/java/bramblespool/cluster/ClusterRecoveryTest.java
+++ b/src/test/java/bramblespool/cluster/ClusterRecoveryTest.java
@@ -53,7 +53,7 @@
         assertTrue(leader.commitCoordinator.unconfirmed().isEmpty(), "all confirmed");
         for (DataPlaneNode proxy : mesh.sidecars.values()) {
             assertEquals("0", proxy.shadowCommit.currentMark(), "marking is back to the bit");
-            assertEquals(5, proxy.shadowCommit.shadowConfiguration().epoch, "the old version is the shadow");
+            assertEquals(5, proxy.shadowCommit.shadowConfiguration().epoch(), "the old version is the shadow");
         }
     }
 
@@ -403,9 +403,12 @@
             if (version > 0
                     && !sidecar.shadowCommit
                             .realConfiguration()
-                            .stamp
+                            .stamp()
                             .equals(inForce.computeIfAbsent(
-                                    version, k -> sidecar.shadowCommit.realConfiguration().stamp))) {
+                                    version,
+                                    k -> sidecar.shadowCommit
+                                            .realConfiguration()
+                                            .stamp()))) {
                 violations.add("two documents in force as " + version);
             }
         });
--- a/src/test/java/bramblespool/cluster/ConnectionLimitsTest.java
+++ b/src/test/java/bramblespool/cluster/ConnectionLimitsTest.java
@@ -8,7 +8,9 @@
 import bramblespool.process.ControllerProcess;
 import bramblespool.process.SidecarProcess;
 import bramblespool.state.EventLog;
+import bramblespool.state.InvalidSettingsException;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.transport.EventLoop;
 import java.io.IOException;
@@ -65,8 +67,8 @@
         configure(3, 0, IDLE_MS, 1000);
     }
 
-    private Settings settings(String machineClass, String ip) throws Settings.InvalidSettingsException {
-        return Settings.parse(
+    private Settings settings(String machineClass, String ip) throws InvalidSettingsException {
+        return SettingsParser.parse(
                 """
                 node = "%1$s-1"
                 machineClass = "%1$s"
--- a/src/test/java/bramblespool/cluster/HttpFramingTest.java
+++ b/src/test/java/bramblespool/cluster/HttpFramingTest.java
@@ -8,7 +8,9 @@
 import bramblespool.process.ControllerProcess;
 import bramblespool.process.SidecarProcess;
 import bramblespool.state.EventLog;
+import bramblespool.state.InvalidSettingsException;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.transport.EventLoop;
 import java.io.ByteArrayOutputStream;
@@ -145,8 +147,8 @@
         assertTrue(response.startsWith(expectedPrefix), response);
     }
 
-    private static Settings settings(String machineClass, String ip) throws Settings.InvalidSettingsException {
-        return Settings.parse(
+    private static Settings settings(String machineClass, String ip) throws InvalidSettingsException {
+        return SettingsParser.parse(
                 """
                 node = "%1$s-1"
                 machineClass = "%1$s"
--- a/src/test/java/bramblespool/cluster/StaleTermTest.java
+++ b/src/test/java/bramblespool/cluster/StaleTermTest.java
@@ -13,6 +13,7 @@
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.SimulatedPlatform;
 import bramblespool.transport.PeerTransport;
@@ -357,7 +358,7 @@
                 .put("old", 5)
                 .put("new", 6)
                 .put("within", 200)
-                .put("doc", document(6, "late").compressedDocument);
+                .put("doc", document(6, "late").compressedDocument());
         ArrayNode wefts = message.putArray("wefts");
         mesh.sidecars.forEach(
                 (peer, proxy) -> wefts.add(status(mesh, peer).path("node").asText()));
@@ -378,7 +379,7 @@
             assertEquals(currentTerm, answer.path("term").asLong(), peer);
             assertTrue(
                     proxy.shadowCommit.shadowConfiguration() == null
-                            || proxy.shadowCommit.shadowConfiguration().epoch != 6,
+                            || proxy.shadowCommit.shadowConfiguration().epoch() != 6,
                     peer + " has the late candidate");
         });
     }
@@ -386,7 +387,7 @@
     private static RoutingConfiguration document(long epoch, String prefix) {
         try {
             String text = SimulatedMesh.document(epoch, 5, prefix);
-            return RoutingConfiguration.compileCompressed(CompressedDocument.compress(text));
+            return RoutingConfigurationParser.parseCompressed(CompressedDocument.compress(text));
         } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
@@ -476,10 +477,12 @@
             if (version < highest.getOrDefault(proxy, 0L)
                     || !proxy.shadowCommit
                             .realConfiguration()
-                            .stamp
+                            .stamp()
                             .equals(inForce.computeIfAbsent(
-                                    version, k -> proxy.shadowCommit.realConfiguration().stamp))) {
-                violations.add(peer + " has " + version + " of " + proxy.shadowCommit.realConfiguration().stamp);
+                                    version,
+                                    k -> proxy.shadowCommit.realConfiguration().stamp()))) {
+                violations.add(peer + " has " + version + " of "
+                        + proxy.shadowCommit.realConfiguration().stamp());
             }
             highest.put(proxy, version);
         });
@@ -571,12 +574,17 @@
     @Test
     void documentIsIdentifiedByVersionAndStamp() {
         SimulatedMesh mesh = newMesh(4, 3, 4);
-        String stamp =
-                mesh.sidecars.get(SimulatedMesh.sidecarPeer(0)).shadowCommit.realConfiguration().stamp;
+        String stamp = mesh.sidecars
+                .get(SimulatedMesh.sidecarPeer(0))
+                .shadowCommit
+                .realConfiguration()
+                .stamp();
         ObjectNode matching =
                 JsonNodeFactory.instance.objectNode().put("epoch", 5).put("stamp", stamp);
-        ObjectNode rival =
-                JsonNodeFactory.instance.objectNode().put("epoch", 5).put("stamp", document(5, "rival").stamp);
+        ObjectNode rival = JsonNodeFactory.instance
+                .objectNode()
+                .put("epoch", 5)
+                .put("stamp", document(5, "rival").stamp());
         for (String peer : List.of(SimulatedMesh.controllerPeer(0), SimulatedMesh.sidecarPeer(0))) {
             assertTrue(call(mesh, peer, "doc", matching).path("doc").isTextual(), peer);
             assertFalse(call(mesh, peer, "doc", rival) instanceof ObjectNode, peer);
@@ -598,8 +606,9 @@
         services.forEach((peer, service) -> mesh.simulator.machine(peer).serve((kind, message, answer) -> {
             if (kind.equals("doc")) {
                 askedCount[0]++;
-                answer.accept(
-                        JsonNodeFactory.instance.objectNode().put("doc", document(6, "rival").compressedDocument));
+                answer.accept(JsonNodeFactory.instance
+                        .objectNode()
+                        .put("doc", document(6, "rival").compressedDocument()));
             } else {
                 service.handleRequest(kind, message, answer);
             }
--- a/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
+++ b/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
@@ -9,7 +9,7 @@
 import bramblespool.protocol.Heartbeat;
 import bramblespool.state.EventLog;
 import bramblespool.state.InvalidConfigurationException;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import java.util.ArrayDeque;
@@ -104,7 +104,7 @@
     @Test
     void admissionCreatedAfterConfigurationHasItsSlowStartLimit() throws InvalidConfigurationException {
         ServerAdmissions gates = new ServerAdmissions();
-        gates.applyConfiguration(RoutingConfiguration.compile(SimulatedMesh.document(5, 0, "one")));
+        gates.applyConfiguration(RoutingConfigurationParser.parse(SimulatedMesh.document(5, 0, "one")));
         admission = new ServerAdmission(
                 machine,
                 new ServerAdmission.AdmissionSettings(0, 0, 2500, 1.5, 5),
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -347,7 +347,7 @@
             throw new InvariantViolation("SidesNeverGoBack", peer + " goes from " + previousVersion + " to " + version);
         }
         versionBySidecar.put(proxy, version);
-        if (version > 0 && !proxy.shadowCommit.realConfiguration().stamp.equals(stampByVersion.get(version))) {
+        if (version > 0 && !proxy.shadowCommit.realConfiguration().stamp().equals(stampByVersion.get(version))) {
             throw new InvariantViolation(
                     "SidesUseWhatIsAgreed", peer + " uses a version " + version + " that is not agreed");
         }
--- a/src/test/java/bramblespool/proxy/SocketTestContext.java
+++ b/src/test/java/bramblespool/proxy/SocketTestContext.java
@@ -5,8 +5,11 @@
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.protocol.Heartbeat;
 import bramblespool.state.EventLog;
+import bramblespool.state.InvalidSettingsException;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.transport.Clock;
 import bramblespool.transport.EventLoop;
@@ -119,7 +122,7 @@
     final String peerAddress;
 
     SocketTestContext() throws Exception {
-        RoutingConfiguration configuration = RoutingConfiguration.compile(SimulatedMesh.document(3, 0, "x")
+        RoutingConfiguration configuration = RoutingConfigurationParser.parse(SimulatedMesh.document(3, 0, "x")
                 .replace(
                         "[\"r\",\"x.example\",\"/x/\",\"idempotent\",\"1500ms\",\"600ms\",1,null,2,\"desk\"]",
                         route("SERVER", "mutating", "desk") + "," + route("SERVER", "idempotent", "desk") + ","
@@ -242,9 +245,9 @@
 
     private DataPlaneNode newDataPlaneNode(
             String node, String target, String serverAddress, RoutingConfiguration configuration)
-            throws Settings.InvalidSettingsException {
+            throws InvalidSettingsException {
         Settings settings =
-                Settings.parse("""
+                SettingsParser.parse("""
                 node = "%1$s"
                 machineClass = "sidecar"
                 ip = "%2$s"
--- a/src/test/java/bramblespool/state/SqliteDurableStoreTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreTest.java
@@ -729,7 +729,7 @@
 
     @Test
     void founderThatLostItsStoreDoesNotFoundAgain() throws Exception {
-        Settings settings = Settings.parse("""
+        Settings settings = SettingsParser.parse("""
                 node = "helm-1"
                 machineClass = "core"
                 ip = "10.0.0.1"
--- a/src/test/java/bramblespool/testing/SimulatedMesh.java
+++ b/src/test/java/bramblespool/testing/SimulatedMesh.java
@@ -6,7 +6,9 @@
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.state.EventLog;
 import bramblespool.state.InvalidConfigurationException;
+import bramblespool.state.InvalidSettingsException;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -167,8 +169,8 @@
                         ip,
                         BOUNDS);
         try {
-            return Settings.parse(text, "simulated");
-        } catch (Settings.InvalidSettingsException e) {
+            return SettingsParser.parse(text, "simulated");
+        } catch (InvalidSettingsException e) {
             throw new IllegalStateException(e);
         }
     }
