--- a/src/main/java/bramblespool/state/DurableStore.java
+++ b/src/main/java/bramblespool/state/DurableStore.java
@@ -2,13 +2,33 @@
 
 import java.util.List;
 
-/** The durable store of a helm. Changes take effect in order; one that fails is tried again until it holds. */
+/**
+ * What a controller keeps on its disk: its part of the replicated log and its registers. Writes take effect in the order in
+ * which they are handed over; one that fails is tried again until it succeeds, and until then nothing after it is durable.
+ * Confined to the event loop.
+ */
 public interface DurableStore {
+    /** An entry of the replicated log. */
     record LogEntry(long index, long term, String data) {}
 
+    /**
+     * The state that all entries up to an index have led to.
+     *
+     * @param term the term of the entry at that index
+     * @param voters the voters as of that index, see {@link VoterSet#encoded}
+     * @param data null in the snapshot of an empty log
+     */
     record Snapshot(long index, long term, List<String> voters, String data) {}
 
-    /** {@code commit}: up to where entries were known to be agreed when something was last written. */
+    /**
+     * All of a controller's consensus state.
+     *
+     * @param incarnation tells this disk from others that the same machine had before
+     * @param votedFor whom the vote of the current term went to, or null
+     * @param commitIndex up to where entries were known to be committed when something was last written
+     * @param snapshot null where there is none
+     * @param entries the entries that the snapshot doesn't cover, without gaps
+     */
     record PersistentState(
             String incarnation,
             long currentTerm,
@@ -17,7 +37,12 @@
             Snapshot snapshot,
             List<LogEntry> entries) {}
 
-    /** Vote and term, removal of entries from an index on (0: none), entries to add, a snapshot that replaces what it covers. */
+    /**
+     * A change of the consensus state, durable as a whole.
+     *
+     * @param truncateFrom entries from this index on are removed first; 0 for none
+     * @param snapshot replaces the last one and the entries that it covers; null for none
+     */
     record Change(
             long currentTerm,
             String votedFor,
@@ -27,40 +52,56 @@
             Snapshot snapshot) {}
 
     /**
-     * An acceptor's word on one register: the ballot it has promised, and what it has accepted under which; ballots in
-     * their written form, null where there is none. A row without an id is the store's own mark.
+     * What an acceptor has promised and accepted for one register.
+     *
+     * @param registerId empty in rows that are marks of the register layer itself
+     * @param promisedProposal written form of a proposal number, or null
+     * @param acceptedProposal likewise
+     * @param acceptedValue null where nothing was accepted
      */
     record StoredRegister(String registerId, String promisedProposal, String acceptedProposal, String acceptedValue) {}
 
-    /** What the disk held when it was opened or founded, null where it is empty; to be asked before the first change. */
+    /**
+     * What the disk held when it was opened or initialized, or null where it is empty.
+     *
+     * @throws IllegalStateException after the first write
+     */
     PersistentState load();
 
     /**
-     * Whether this disk has held a store that was lost and set aside. It is empty then, but was not always: whoever
-     * founds it anew may have voted before.
+     * Whether this disk has held a database that was lost and moved out of the way. It counts as empty then, but was not
+     * always so: whoever initializes it again may have voted before.
      */
     default boolean hasQuarantinedDatabase() {
         return false;
     }
 
-    /** Founds an empty disk, with the entries a founding member starts from. */
+    /**
+     * Initializes an empty disk, with the entries that a founding member starts from.
+     *
+     * @throws IllegalStateException where it is not empty
+     */
     void initialize(String incarnation, List<LogEntry> initialEntries);
 
-    /** The callback comes on the loop once the change is durable, and not before. */
+    /** Writes a change. The callback runs on the event loop once it is durable, and not before. */
     void save(Change change, Runnable onDurable);
 
-    /** Keeps words on registers, each in place of the last one of that id; one write with all that waits. */
+    /** Writes registers, each in place of the last one of its id. The callback is as for {@link #save}. */
     void saveRegisters(List<StoredRegister> registers, Runnable onDurable);
 
-    /** All words kept and not yet faded when it was opened, the newest of each id last; asked for as {@link #load}. */
+    /**
+     * All registers that were stored and had not expired when the disk was opened, the newest of each id last.
+     *
+     * @throws IllegalStateException after the first write
+     */
     List<StoredRegister> loadRegisters();
 
-    /** To be called once in each part of a register's life: words older than {@code parts} calls are removed. */
+    /** To be called once in each period: registers stored more than so many calls ago are removed. */
     void expireRegisters(int retainedPeriods);
 
-    /** Since when (loop time) the oldest unfinished change has been waiting, or -1. */
+    /** Event loop time since which the oldest unfinished write has been waiting, or -1 where there is none. */
     long pendingSinceMs();
 
-    /** Whether the last attempt failed. */
+    /** Whether the last write failed. */
     boolean isFailing();
 }
--- a/src/main/java/bramblespool/state/SyncedDirectory.java
+++ b/src/main/java/bramblespool/state/SyncedDirectory.java
@@ -8,7 +8,10 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 
-/** A folder on a disk: what a file holds lasts from its own sync on, names made, moved or removed from the folder's. */
+/**
+ * A directory on a disk. What a file holds outlasts a loss of power only from the file's sync on; names that are created,
+ * moved or removed do so only from the directory's sync on. Tests replace it by one that loses power. Not thread-safe.
+ */
 class SyncedDirectory {
     final Path path;
 
@@ -16,6 +19,7 @@
         this.path = path;
     }
 
+    /** The names of all files. */
     List<String> names() throws IOException {
         String[] entries = path.toFile().list();
         if (entries == null) {
@@ -24,7 +28,7 @@
         return List.of(entries);
     }
 
-    /** By the list of names: a folder that cannot be read is not an empty one. */
+    /** Whether there is a file of this name; found by listing, for a directory that cannot be read is not an empty one. */
     boolean contains(String name) throws IOException {
         return names().contains(name);
     }
@@ -34,16 +38,18 @@
         return contains(name) ? Files.size(path.resolve(name)) : 0;
     }
 
-    /** Makes an empty file if there is none. */
+    /** Creates an empty file if there is none. */
     void createIfAbsent(String name) throws IOException {
         FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE)
                 .close();
     }
 
+    /** Moves a file in one step; a file that has the new name is replaced. */
     void move(String from, String to) throws IOException {
         Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
+    /** Removes a file if it is there. */
     void remove(String name) throws IOException {
         Files.deleteIfExists(path.resolve(name));
     }
--- /dev/null
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreFailureTest.java
@@ -0,0 +1,180 @@
+package bramblespool.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import bramblespool.state.DurableStore.Change;
+import bramblespool.state.DurableStore.LogEntry;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.sql.Connection;
+import java.sql.DriverManager;
+import java.sql.SQLException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** The durable store on a disk that does not work for a while. */
+class SqliteDurableStoreFailureTest extends StoreTestSupport {
+    private static byte[] referenceStore;
+
+    @BeforeAll
+    static void createReferenceStoreOnce(@TempDir Path path) throws Exception {
+        referenceStore = createReferenceStore(path);
+    }
+
+    /** SQLite rolls back by itself after some errors, a full disk among them, and not after others. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "PRAGMA max_page_count=5|PRAGMA max_page_count=100000",
+                "CREATE TEMP TRIGGER t BEFORE INSERT ON log BEGIN SELECT RAISE(ABORT, 'no'); END|DROP TRIGGER t"
+            })
+    void writesAreDurableAgainAfterFailedWrite(String failingSql, String repairingSql) throws Exception {
+        CountDownLatch done = new CountDownLatch(2);
+        SqliteDurableStore[] storeHolder = new SqliteDurableStore[1];
+        List<String> pauses = new ArrayList<>();
+        SqliteDurableStore store = new SqliteDurableStore(
+                new SyncedDirectory(dir), Runnable::run, System::nanoTime, EventLog.silent(), () -> {}, () -> {
+                    pauses.add(done.getCount() + " waiting, failing: " + storeHolder[0].isFailing());
+                    if (pauses.size() == 3) {
+                        try {
+                            sql(storeHolder[0].files().connection(), repairingSql);
+                        } catch (SQLException e) {
+                            throw new AssertionError(e);
+                        }
+                    }
+                });
+        storeHolder[0] = store;
+        store.initialize("abc", List.of());
+        sql(store.files().connection(), failingSql);
+        store.save(
+                new Change(1, "x", 0, 0, List.of(new LogEntry(1, 1, "long ".repeat(10_000))), null), done::countDown);
+        store.save(new Change(2, "y", 1, 0, List.of(new LogEntry(2, 2, "short")), null), done::countDown);
+        assertTrue(done.await(120, TimeUnit.SECONDS), "writes hold again by themselves");
+        assertEquals(
+                List.of("2 waiting, failing: true", "2 waiting, failing: true", "2 waiting, failing: true"),
+                pauses,
+                "nothing counts as durable while writes fail");
+        assertFalse(store.isFailing());
+        store.close();
+        SqliteDurableStore reopened =
+                new SqliteDurableStore(dir.toString(), Runnable::run, System::nanoTime, EventLog.silent());
+        assertEquals(2, reopened.load().currentTerm());
+        assertEquals(2, reopened.load().entries().size());
+        reopened.close();
+    }
+
+    private enum DiskFailure {
+        NO_FOLDER,
+        LOCKED,
+        FOLDER_IN_ITS_PLACE,
+        FULL_FOR_THE_LOG,
+        FULL_FOR_NAMES,
+        NO_SYNC,
+        FULL_WHILE_FOUNDING
+    }
+
+    @ParameterizedTest
+    @EnumSource(DiskFailure.class)
+    void startWaitsForFailingDisk(DiskFailure failure) throws Exception {
+        boolean isFounding = failure == DiskFailure.FULL_WHILE_FOUNDING || failure == DiskFailure.FULL_FOR_NAMES;
+        if (!isFounding) {
+            Files.write(dir.resolve(DB), referenceStore);
+        }
+        Path movedAside = dir.resolveSibling(dir.getFileName() + "-away");
+        Connection lockingConnection = null;
+        switch (failure) {
+            case NO_FOLDER -> Files.move(dir, movedAside);
+            case LOCKED -> {
+                lockingConnection = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve(DB));
+                sql(lockingConnection, "PRAGMA locking_mode=EXCLUSIVE", "BEGIN EXCLUSIVE");
+            }
+            case FOLDER_IN_ITS_PLACE -> {
+                Files.move(dir.resolve(DB), movedAside);
+                Files.createDirectory(dir.resolve(DB));
+            }
+            default -> {}
+        }
+        boolean[] isWorking = new boolean[1];
+        SyncedDirectory directory = new SyncedDirectory(dir) {
+            private void check(DiskFailure at) throws IOException {
+                if (failure == at && !isWorking[0]) {
+                    throw new IOException("No space left on device");
+                }
+            }
+
+            @Override
+            void createIfAbsent(String name) throws IOException {
+                check(DiskFailure.FULL_FOR_THE_LOG);
+                super.createIfAbsent(name);
+            }
+
+            @Override
+            void move(String from, String to) throws IOException {
+                check(DiskFailure.FULL_FOR_NAMES);
+                super.move(from, to);
+            }
+
+            @Override
+            void sync(String name) throws IOException {
+                check(DiskFailure.FULL_WHILE_FOUNDING);
+                super.sync(name);
+            }
+
+            @Override
+            void sync() throws IOException {
+                check(DiskFailure.NO_SYNC);
+                super.sync();
+            }
+        };
+        int[] pauses = new int[1];
+        Connection connectionToClose = lockingConnection;
+        SqliteDurableStore store =
+                new SqliteDurableStore(directory, Runnable::run, System::nanoTime, log, () -> {}, () -> {
+                    if (++pauses[0] < 3) {
+                        return;
+                    }
+                    isWorking[0] = true;
+                    try {
+                        switch (failure) {
+                            case NO_FOLDER -> Files.move(movedAside, dir);
+                            case LOCKED -> connectionToClose.close();
+                            case FOLDER_IN_ITS_PLACE -> {
+                                Files.delete(dir.resolve(DB));
+                                Files.move(movedAside, dir.resolve(DB));
+                            }
+                            default -> {}
+                        }
+                    } catch (IOException | SQLException e) {
+                        throw new AssertionError(e);
+                    }
+                });
+        if (isFounding) {
+            assertNull(store.load());
+            store.initialize("abc", List.of());
+        }
+        assertEquals(3, pauses[0]);
+        assertEquals("abc", store.load().incarnation());
+        assertEquals(isFounding ? 0 : 4, store.load().entries().size());
+        assertFalse(store.hasQuarantinedDatabase());
+        store.close();
+        assertEquals(
+                "B501 B502",
+                logOutput
+                        .toString()
+                        .replaceAll("(?s).*?(B50\\d)[^\\n]*\\n", "$1 ")
+                        .trim(),
+                logOutput::toString);
+    }
+}
--- /dev/null
+++ b/src/test/java/bramblespool/state/StoreContents.java
@@ -0,0 +1,8 @@
+package bramblespool.state;
+
+import bramblespool.state.DurableStore.PersistentState;
+import bramblespool.state.DurableStore.StoredRegister;
+import java.util.List;
+
+/** What a store gives when it is opened. */
+record StoreContents(PersistentState saved, List<StoredRegister> registers, boolean isQuarantined) {}
