--- a/src/main/java/bramblespool/coordination/configuration/PhaseHandler.java
+++ b/src/main/java/bramblespool/coordination/configuration/PhaseHandler.java
@@ -54,8 +54,8 @@
     private PhaseAcknowledgement recordCandidate(PhaseMessage message) {
         RoutingConfiguration candidate;
         try {
-            candidate =
-                    RoutingConfigurationParser.parseCompressed(message.candidate().compressedDocument());
+            candidate = RoutingConfigurationParser.parseCompressed(
+                    message.candidate().compressedDocument());
         } catch (InvalidConfigurationException e) {
             return new PhaseAcknowledgement.Rejected(e.getMessage());
         }
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
@@ -256,7 +256,9 @@
         cancelRevertTimer();
         installed[1 - realSlot] = decided;
         exchangeEntries();
-        long oldEpoch = shadowConfiguration() == null ? CommitTags.NO_EPOCH : shadowConfiguration().epoch();
+        long oldEpoch = shadowConfiguration() == null
+                ? CommitTags.NO_EPOCH
+                : shadowConfiguration().epoch();
         tags = new CommitTags(oldEpoch, decided.epoch());
         if (isMarked) {
             markShadowBit(decided.epoch(), decided.stamp());
