--- a/src/main/java/bramblespool/coordination/configuration/CommitLog.java
+++ b/src/main/java/bramblespool/coordination/configuration/CommitLog.java
@@ -3,6 +3,8 @@
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
 import java.util.function.Consumer;
@@ -23,33 +25,28 @@
             OperatorRequest.ConfigurationChange change,
             RoutingConfiguration candidate,
             Consumer<ProposalOutcome> callback) {
-        raft.propose(
-                ReplicatedState.entry("candidate")
-                        .put("epoch", candidate.epoch())
-                        .put("base", change.baseVersion())
-                        .put("digest", change.digest())
-                        .put("doc", candidate.compressedDocument())
-                        .toString(),
+        propose(
+                new ReplicatedEntry.CandidateStored(
+                        candidate.epoch(), change.baseVersion(), change.digest(), candidate.compressedDocument()),
                 callback);
     }
 
     /** The candidate is given up. */
     void abortCandidate(long epoch, Consumer<ProposalOutcome> callback) {
-        raft.propose(ReplicatedState.entry("abort").put("epoch", epoch).toString(), callback);
+        propose(new ReplicatedEntry.CommitAborted(epoch), callback);
     }
 
     /** The candidate becomes the version in force, if its base still is. */
     void decideCandidate(long epoch, Consumer<ProposalOutcome> callback) {
-        raft.propose(ReplicatedState.entry("decide").put("epoch", epoch).toString(), callback);
+        propose(new ReplicatedEntry.CommitDecided(epoch), callback);
     }
 
     /** A phase of the version in force is over. */
     void recordPhase(long epoch, ReplicatedState.Phase phase, Consumer<ProposalOutcome> callback) {
-        raft.propose(
-                ReplicatedState.entry("phase")
-                        .put("epoch", epoch)
-                        .put("phase", phase.name())
-                        .toString(),
-                callback);
+        propose(new ReplicatedEntry.PhaseReached(epoch, phase), callback);
+    }
+
+    private void propose(ReplicatedEntry entry, Consumer<ProposalOutcome> callback) {
+        raft.propose(ReplicatedEntryCodec.encode(entry), callback);
     }
 }
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -30,7 +30,10 @@
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
@@ -639,7 +642,7 @@
     @Override
     public void apply(long index, String entry) {
         long previousVotersChangedIndex = replicatedState.votersChangedIndex();
-        replicatedState.apply(index, ReplicatedState.parse(entry));
+        replicatedState.apply(index, ReplicatedEntryCodec.decode(entry));
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
@@ -650,12 +653,12 @@
 
     @Override
     public String snapshot() {
-        return replicatedState.snapshot().toString();
+        return ReplicatedStateSnapshotCodec.encode(replicatedState.snapshot());
     }
 
     @Override
     public void restore(String snapshot) {
-        replicatedState.restore(ReplicatedState.parse(snapshot));
+        replicatedState.restore(ReplicatedStateSnapshotCodec.decode(snapshot));
         shardLeases.onVotersChanged();
         schedulePublish();
     }
@@ -745,10 +748,7 @@
             return;
         }
         raft.propose(
-                ReplicatedState.entry("evac")
-                        .put("zone", zone)
-                        .put("on", isEvacuated)
-                        .toString(),
+                ReplicatedEntryCodec.encode(new ReplicatedEntry.EvacuationChanged(zone, isEvacuated)),
                 outcome -> callback.accept(outcome == ProposalOutcome.COMMITTED));
     }
 
--- a/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
+++ b/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
@@ -2,6 +2,8 @@
 
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.raft.RaftNode;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
 import java.util.Collection;
 import java.util.HashSet;
@@ -35,12 +37,7 @@
     public void raiseFencingToken(String key, long fencingToken) {
         ReplicatedState.SingletonRole role = replicatedState.singletonRoles().get(key);
         if (raft.isLeader() && role != null && role.fencingToken() == fencingToken && proposedKeys.add(key)) {
-            raft.propose(
-                    ReplicatedState.entry("duty")
-                            .put("key", key)
-                            .put("holder", role.owner())
-                            .toString(),
-                    outcome -> proposedKeys.remove(key));
+            proposeOwner(key, role.owner());
         }
     }
 
@@ -59,12 +56,13 @@
             if (role != null && candidates.contains(role.owner()) || !proposedKeys.add(key)) {
                 continue;
             }
-            raft.propose(
-                    ReplicatedState.entry("duty")
-                            .put("key", key)
-                            .put("holder", RendezvousHash.highestWeighted(key, candidates))
-                            .toString(),
-                    outcome -> proposedKeys.remove(key));
+            proposeOwner(key, RendezvousHash.highestWeighted(key, candidates));
         }
     }
+
+    private void proposeOwner(String key, String owner) {
+        raft.propose(
+                ReplicatedEntryCodec.encode(new ReplicatedEntry.SingletonRoleAssigned(key, owner)),
+                outcome -> proposedKeys.remove(key));
+    }
 }
--- a/src/main/java/bramblespool/state/ReplicatedState.java
+++ b/src/main/java/bramblespool/state/ReplicatedState.java
@@ -1,96 +1,131 @@
 package bramblespool.state;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
+import bramblespool.state.ReplicatedEntry.CandidateStored;
+import bramblespool.state.ReplicatedEntry.CommitAborted;
+import bramblespool.state.ReplicatedEntry.CommitDecided;
+import bramblespool.state.ReplicatedEntry.EvacuationChanged;
+import bramblespool.state.ReplicatedEntry.PhaseReached;
+import bramblespool.state.ReplicatedEntry.SingletonRoleAssigned;
+import bramblespool.state.ReplicatedEntry.VotersChanged;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** What the helms have agreed on: configurations, the phase of the commit under way, evacuations. */
+/**
+ * What the controllers have agreed on: the configurations and how far the commit of the newest has come, evacuated zones,
+ * owners of singleton roles, voters. The same entries lead every controller to the same state, whatever it is made of:
+ * nothing here depends on time, on chance or on the machine. Confined to the event loop.
+ */
 public final class ReplicatedState {
-    /**
-     * Digests of versions taken before, kept so that a repeat of one is never refused; more than a long day has changes. So
-     * many letters of each tell it from the others.
-     */
+    /** Digests of committed requests that are kept, so that a repeated one is known: more than the changes of a long day. */
     private static final int MAX_COMMITTED_DIGESTS = 4096;
 
+    /** So many characters of a digest tell it from the others. */
     private static final int SHORT_DIGEST_CHARS = 32;
-    private static final ObjectMapper JSON = new ObjectMapper();
 
+    /**
+     * How far the commit of the current version has come, as the phases of "Shadow Configuration as a Network Management
+     * Primitive" are replicated: a new leader goes on from here. The names are stored.
+     */
     public enum Phase {
+        /** Nothing was ever committed. */
         NONE,
+        /** The version is decided: the proxies may begin to tag packets. */
         DECIDED,
+        /** The proxies in touch have swapped. */
         SWAPPED,
+        /** The proxies in touch have set the shadow bit anew: the commit is complete. */
         MARKED
     }
 
-    /** {@code packed}: the document as it was sent, or null where there is none yet. */
+    /**
+     * A version of the configuration.
+     *
+     * @param epoch the operator's number for it, 0 for none
+     * @param compressedDocument see {@link CompressedDocument}; null for none
+     * @param digest identifies the operator's request
+     */
     public record Version(long epoch, String compressedDocument, String digest) {
         static final Version NONE = new Version(0, null, "");
     }
 
+    /** Whether a zone is evacuated; the index of the entry orders a zone's changes. */
+    public record Evacuation(boolean isEvacuated, long index) {}
+
+    /**
+     * The owner of a singleton role.
+     *
+     * @param fencingToken index of the entry that assigned the role: it only ever rises
+     * @param isFirstOwner whether nobody owned the role before
+     */
+    public record SingletonRole(String owner, long fencingToken, boolean isFirstOwner) {}
+
     private Version current = Version.NONE;
     private Version previous = Version.NONE;
     private Version candidate;
     private long candidateBaseEpoch;
     private Phase phase = Phase.NONE;
+    /** The oldest first, with their epochs. */
     private final Map<String, Long> committedDigests = new LinkedHashMap<>();
+
     private final Map<String, Evacuation> evacuations = new LinkedHashMap<>();
     private final Map<String, SingletonRole> singletonRoles = new LinkedHashMap<>();
 
     private VoterSet voterSet = VoterSet.decode(List.of());
-    /** The agreed voters, each with the index of the entry since which it has been one without a break. */
     private final Map<String, Long> voterSinceIndexes = new LinkedHashMap<>();
-    /** The index of the entry that made them the voters. */
     private long votersChangedIndex;
 
-    /** The index orders a zone's changes. */
-    public record Evacuation(boolean isEvacuated, long index) {}
-
-    /** Who holds a duty; the fence, the index of the entry that gave it, only ever rises. {@code first}: nobody held it before. */
-    public record SingletonRole(String owner, long fencingToken, boolean isFirstOwner) {}
+    private final Map<String, Evacuation> evacuationsView = Collections.unmodifiableMap(evacuations);
+    private final Map<String, SingletonRole> singletonRolesView = Collections.unmodifiableMap(singletonRoles);
+    private final Map<String, Long> voterSinceIndexesView = Collections.unmodifiableMap(voterSinceIndexes);
 
-    /** The agreed voters, or the change under way from some to others. */
+    /** The committed voters, or the committed change under way from some to others. */
     public VoterSet voterSet() {
         return voterSet;
     }
 
+    /** The voters, each with the index of the entry since which it has been one without a break. */
     public Map<String, Long> voterSinceIndexes() {
-        return voterSinceIndexes;
+        return voterSinceIndexesView;
     }
 
+    /** The index of the entry that made them the voters. */
     public long votersChangedIndex() {
         return votersChangedIndex;
     }
 
+    /** The singleton roles that were ever assigned, by their keys. */
     public Map<String, SingletonRole> singletonRoles() {
-        return singletonRoles;
+        return singletonRolesView;
     }
 
+    /** The zones that were ever evacuated, by their names. */
+    public Map<String, Evacuation> evacuations() {
+        return evacuationsView;
+    }
+
+    /** The version decided last. */
     public Version current() {
         return current;
     }
 
+    /** The version before the current one. */
     public Version previous() {
         return previous;
     }
 
+    /** The version whose commit has begun and is neither decided nor aborted, or null. */
     public Version candidate() {
         return candidate;
     }
 
+    /** How far the commit of the current version has come. */
     public Phase phase() {
         return phase;
     }
 
-    public Map<String, Evacuation> evacuations() {
-        return evacuations;
-    }
-
+    /** Whether the operator's request with this digest was committed. */
     public boolean isCommitted(String digest) {
         return committedDigests.containsKey(shortDigest(digest));
     }
@@ -99,165 +134,116 @@
         return digest.substring(0, Math.min(SHORT_DIGEST_CHARS, digest.length()));
     }
 
-    /** Reads the text of an entry or of a snapshot. */
-    public static JsonNode parse(String text) {
-        try {
-            return JSON.readTree(text);
-        } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a committed entry or snapshot cannot be read", e);
+    /**
+     * Applies a committed entry. An entry that doesn't fit the state, such as the decision of a candidate given up before,
+     * changes nothing.
+     *
+     * @param index the entry's index in the log, one above that of the entry before
+     */
+    public void apply(long index, ReplicatedEntry entry) {
+        if (entry instanceof CandidateStored candidateStored) {
+            applyCandidate(candidateStored);
+        } else if (entry instanceof CommitAborted abort) {
+            applyAbort(abort);
+        } else if (entry instanceof CommitDecided decision) {
+            applyDecision(decision);
+        } else if (entry instanceof PhaseReached phaseReached) {
+            applyPhase(phaseReached);
+        } else if (entry instanceof VotersChanged voters) {
+            applyVoters(index, voters);
+        } else if (entry instanceof EvacuationChanged evacuation) {
+            applyEvacuation(index, evacuation);
+        } else if (entry instanceof SingletonRoleAssigned role) {
+            applySingletonRole(index, role);
         }
     }
 
-    public static ObjectNode entry(String kind) {
-        return JsonNodeFactory.instance.objectNode().put("k", kind);
+    private void applyCandidate(CandidateStored entry) {
+        if (candidate == null) {
+            candidate = new Version(entry.epoch(), entry.compressedDocument(), entry.digest());
+            candidateBaseEpoch = entry.baseEpoch();
+        }
     }
 
-    public void apply(long index, JsonNode entry) {
-        switch (entry.path("k").asText()) {
-            case "candidate" -> {
-                if (candidate == null) {
-                    candidate = new Version(
-                            entry.path("epoch").asLong(),
-                            entry.path("doc").asText(),
-                            entry.path("digest").asText());
-                    candidateBaseEpoch = entry.path("base").asLong();
-                }
-            }
-            case "abort" -> {
-                if (candidate != null && candidate.epoch == entry.path("epoch").asLong()) {
-                    candidate = null;
-                }
-            }
-            case "decide" -> decide(entry.path("epoch").asLong());
-            case "phase" -> {
-                if (current.epoch == entry.path("epoch").asLong()) {
-                    phase = Phase.valueOf(entry.path("phase").asText());
-                }
-            }
-            case "members" -> {
-                Map<String, Long> previousVoters = new LinkedHashMap<>(voterSinceIndexes);
-                voterSinceIndexes.clear();
-                voterSet = readVoterSet(entry.path("voters"));
-                voterSet.all()
-                        .forEach(voter -> voterSinceIndexes.put(voter, previousVoters.getOrDefault(voter, index)));
-                votersChangedIndex = index;
-            }
-            case "evac" ->
-                evacuations.put(
-                        entry.path("zone").asText(),
-                        new Evacuation(entry.path("on").asBoolean(), index));
-            case "duty" ->
-                singletonRoles.put(
-                        entry.path("key").asText(),
-                        new SingletonRole(
-                                entry.path("holder").asText(),
-                                index,
-                                !singletonRoles.containsKey(entry.path("key").asText())));
-            default -> {}
+    private void applyAbort(CommitAborted entry) {
+        if (candidate != null && candidate.epoch == entry.epoch()) {
+            candidate = null;
         }
     }
 
-    private void decide(long epoch) {
-        if (candidate == null
-                || candidate.epoch != epoch
-                || candidateBaseEpoch != current.epoch
-                || epoch <= current.epoch) {
+    private void applyDecision(CommitDecided entry) {
+        boolean isCandidate = candidate != null && candidate.epoch == entry.epoch();
+        if (!isCandidate || candidateBaseEpoch != current.epoch || candidate.epoch <= current.epoch) {
             return;
         }
         previous = current;
         current = candidate;
         candidate = null;
         phase = Phase.DECIDED;
-        committedDigests.put(shortDigest(current.digest), epoch);
+        committedDigests.put(shortDigest(current.digest), current.epoch);
         if (committedDigests.size() > MAX_COMMITTED_DIGESTS) {
             committedDigests.remove(committedDigests.keySet().iterator().next());
         }
     }
 
-    private static VoterSet readVoterSet(JsonNode encodedVoters) {
-        List<String> voterIds = new ArrayList<>();
-        encodedVoters.forEach(voter -> voterIds.add(voter.asText()));
-        return VoterSet.decode(voterIds);
+    private void applyPhase(PhaseReached entry) {
+        if (current.epoch == entry.epoch()) {
+            phase = entry.phase();
+        }
     }
 
-    public ObjectNode snapshot() {
-        ObjectNode document = JsonNodeFactory.instance.objectNode();
-        writeVersion(document.putObject("current"), current);
-        writeVersion(document.putObject("previous"), previous);
-        if (candidate != null) {
-            writeVersion(document.putObject("candidate"), candidate);
-            document.put("base", candidateBaseEpoch);
+    private void applyVoters(long index, VotersChanged entry) {
+        Map<String, Long> previousVoters = new LinkedHashMap<>(voterSinceIndexes);
+        voterSinceIndexes.clear();
+        voterSet = entry.voterSet();
+        for (String voter : voterSet.all()) {
+            voterSinceIndexes.put(voter, previousVoters.getOrDefault(voter, index));
         }
-        document.put("phase", phase.name());
-        ObjectNode digestsNode = document.putObject("taken");
-        committedDigests.forEach(digestsNode::put);
-        ObjectNode evacuationsNode = document.putObject("evac");
-        evacuations.forEach((zone, evacuation) -> evacuationsNode
-                .putObject(zone)
-                .put("on", evacuation.isEvacuated)
-                .put("index", evacuation.index));
-        ObjectNode votersNode = document.putObject("voters");
-        voterSinceIndexes.forEach(votersNode::put);
-        document.put("votersSince", votersChangedIndex);
-        voterSet.encoded().forEach(document.putArray("group")::add);
-        ObjectNode rolesNode = document.putObject("duties");
-        singletonRoles.forEach((key, role) -> rolesNode
-                .putObject(key)
-                .put("holder", role.owner)
-                .put("fence", role.fencingToken)
-                .put("first", role.isFirstOwner));
-        return document;
+        votersChangedIndex = index;
     }
 
-    public void restore(JsonNode document) {
-        current = readVersion(document.path("current"));
-        previous = readVersion(document.path("previous"));
-        candidate = document.has("candidate") ? readVersion(document.path("candidate")) : null;
-        candidateBaseEpoch = document.path("base").asLong();
-        phase = Phase.valueOf(document.path("phase").asText());
-        committedDigests.clear();
-        document.path("taken")
-                .fields()
-                .forEachRemaining(field -> committedDigests.put(
-                        shortDigest(field.getKey()), field.getValue().asLong()));
-        evacuations.clear();
-        document.path("evac")
-                .fields()
-                .forEachRemaining(field -> evacuations.put(
-                        field.getKey(),
-                        new Evacuation(
-                                field.getValue().path("on").asBoolean(),
-                                field.getValue().path("index").asLong())));
-        voterSinceIndexes.clear();
-        document.path("voters")
-                .fields()
-                .forEachRemaining(field ->
-                        voterSinceIndexes.put(field.getKey(), field.getValue().asLong()));
-        votersChangedIndex = document.path("votersSince").asLong();
-        voterSet = document.has("group")
-                ? readVoterSet(document.path("group"))
-                : VoterSet.decode(voterSinceIndexes.keySet());
-        singletonRoles.clear();
-        document.path("duties")
-                .fields()
-                .forEachRemaining(field -> singletonRoles.put(
-                        field.getKey(),
-                        new SingletonRole(
-                                field.getValue().path("holder").asText(),
-                                field.getValue().path("fence").asLong(),
-                                field.getValue().path("first").asBoolean())));
+    private void applyEvacuation(long index, EvacuationChanged entry) {
+        evacuations.put(entry.zone(), new Evacuation(entry.isEvacuated(), index));
+    }
+
+    private void applySingletonRole(long index, SingletonRoleAssigned entry) {
+        boolean isFirstOwner = !singletonRoles.containsKey(entry.key());
+        singletonRoles.put(entry.key(), new SingletonRole(entry.owner(), index, isFirstOwner));
     }
 
-    private static void writeVersion(ObjectNode target, Version version) {
-        target.put("epoch", version.epoch)
-                .put("doc", version.compressedDocument)
-                .put("digest", version.digest);
+    /** The whole state; see {@link ReplicatedStateSnapshot} for how long it holds. */
+    public ReplicatedStateSnapshot snapshot() {
+        return new ReplicatedStateSnapshot(
+                new ReplicatedStateSnapshot.Configurations(
+                        current,
+                        previous,
+                        candidate,
+                        candidateBaseEpoch,
+                        phase,
+                        Collections.unmodifiableMap(committedDigests)),
+                new ReplicatedStateSnapshot.Voters(voterSet, voterSinceIndexesView, votersChangedIndex),
+                evacuationsView,
+                singletonRolesView);
     }
 
-    private static Version readVersion(JsonNode document) {
-        return new Version(
-                document.path("epoch").asLong(),
-                document.path("doc").isTextual() ? document.path("doc").asText() : null,
-                document.path("digest").asText());
+    /** Replaces the whole state. */
+    public void restore(ReplicatedStateSnapshot snapshot) {
+        ReplicatedStateSnapshot.Configurations configurations = snapshot.configurations();
+        current = configurations.current();
+        previous = configurations.previous();
+        candidate = configurations.candidate();
+        candidateBaseEpoch = configurations.candidateBaseEpoch();
+        phase = configurations.phase();
+        committedDigests.clear();
+        // Early versions stored whole digests.
+        configurations.committedDigests().forEach((digest, epoch) -> committedDigests.put(shortDigest(digest), epoch));
+        evacuations.clear();
+        evacuations.putAll(snapshot.evacuations());
+        voterSet = snapshot.voters().voterSet();
+        voterSinceIndexes.clear();
+        voterSinceIndexes.putAll(snapshot.voters().sinceIndexes());
+        votersChangedIndex = snapshot.voters().changedIndex();
+        singletonRoles.clear();
+        singletonRoles.putAll(snapshot.singletonRoles());
     }
 }
--- a/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
+++ b/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
@@ -13,7 +13,11 @@
 import bramblespool.raft.MemberProgress;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.DurableStore;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
+import bramblespool.state.VoterSet;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -502,12 +506,12 @@
         mesh.simulator.setIsolated(laggingPeer, true);
         applyChanges(64, 10);
         DurableStore.Snapshot snapshot = machine(leaderPeer).disk.load().snapshot();
-        String state = member.replicatedState().snapshot().toString();
+        String state = stateOf(member);
         ObjectNode[] answer = new ObjectNode[1];
         member.handleRequest("part", snapshotChunk(member, snapshot, corrupted(snapshot.data())), n -> answer[0] = n);
         assertNotNull(answer[0]);
         assertFalse(answer[0].path("ok").asBoolean());
-        assertEquals(state, member.replicatedState().snapshot().toString());
+        assertEquals(state, stateOf(member));
         mesh.simulator.setIsolated(laggingPeer, false);
         mesh.simulator.run(3000);
         assertEquals(version, member.replicatedState().current().epoch());
@@ -553,8 +557,8 @@
         mesh.simulator.run(5000);
         assertNotNull(mesh.leader());
         assertEquals(
-                mesh.leader().replicatedState().snapshot(),
-                mesh.controllers.get(laggingPeer).replicatedState().snapshot());
+                stateOf(mesh.leader()),
+                stateOf(mesh.controllers.get(laggingPeer)));
         assertEquals(
                 version,
                 mesh.controllers.get(laggingPeer).replicatedState().current().epoch());
@@ -564,7 +568,11 @@
     }
 
     private static void corruptState(ControllerNode controller) {
-        controller.replicatedState().evacuations().put("nowhere", new ReplicatedState.Evacuation(true, 1));
+        controller.replicatedState().apply(1, new ReplicatedEntry.EvacuationChanged("nowhere", true));
+    }
+
+    private static String stateOf(ControllerNode controller) {
+        return ReplicatedStateSnapshotCodec.encode(controller.replicatedState().snapshot());
     }
 
     private static boolean isStateCorrupted(ControllerNode controller) {
@@ -593,8 +601,8 @@
         assertTrue(version - 41 <= 10, version + " is the version by now");
         mesh.simulator.run(1000);
         assertEquals(
-                mesh.leader().replicatedState().snapshot(),
-                member.replicatedState().snapshot());
+                stateOf(mesh.leader()),
+                stateOf(member));
         assertEquals(term, mesh.leader().raft.currentTerm());
         for (MemberProgress p : mesh.leader().raft.memberProgress()) {
             assertFalse(p.hasDivergedState(), p.toString());
@@ -630,8 +638,8 @@
         assertNotNull(mesh.leader());
         assertFalse(isStateCorrupted(mesh.leader()));
         assertEquals(
-                mesh.leader().replicatedState().snapshot(),
-                member.replicatedState().snapshot());
+                stateOf(mesh.leader()),
+                stateOf(member));
     }
 
     /** The leader is the odd one: a majority holds another state, so it gives up the lead and takes theirs. */
@@ -652,8 +660,8 @@
         mesh.controllers
                 .values()
                 .forEach(h -> assertEquals(
-                        mesh.leader().replicatedState().snapshot(),
-                        h.replicatedState().snapshot()));
+                        stateOf(mesh.leader()),
+                        stateOf(h)));
     }
 
     /** The same bytes whether a member applied all throughout, or took a snapshot anywhere and went on from there. */
@@ -663,52 +671,51 @@
         Random random = new Random(seed);
         ReplicatedState throughout = new ReplicatedState();
         ReplicatedState restored = new ReplicatedState();
-        ObjectMapper json = new ObjectMapper();
         long number = 0;
         for (long index = 1; index < 400; index++) {
-            ObjectNode entry =
+            ReplicatedEntry entry =
                     switch (random.nextInt(7)) {
                         case 0, 1 ->
-                            ReplicatedState.entry("candidate")
-                                    .put("epoch", number + 1 + random.nextInt(2))
-                                    .put("base", throughout.current().epoch())
-                                    .put("doc", "d" + index)
-                                    .put("digest", "g" + random.nextInt(300));
+                            new ReplicatedEntry.CandidateStored(
+                                    number + 1 + random.nextInt(2),
+                                    throughout.current().epoch(),
+                                    "g" + random.nextInt(300),
+                                    "d" + index);
                         case 2 ->
-                            ReplicatedState.entry("decide")
-                                    .put(
-                                            "epoch",
-                                            throughout.candidate() == null
-                                                    ? 0
-                                                    : throughout.candidate().epoch());
-                        case 3 ->
-                            ReplicatedState.entry("phase").put("epoch", number).put("phase", "MARKED");
-                        case 4 ->
-                            ReplicatedState.entry("evac")
-                                    .put("zone", "z" + random.nextInt(9))
-                                    .put("on", random.nextBoolean());
+                            new ReplicatedEntry.CommitDecided(
+                                    throughout.candidate() == null
+                                            ? 0
+                                            : throughout.candidate().epoch());
+                        case 3 -> new ReplicatedEntry.PhaseReached(number, ReplicatedState.Phase.MARKED);
+                        case 4 -> new ReplicatedEntry.EvacuationChanged("z" + random.nextInt(9), random.nextBoolean());
                         case 5 ->
-                            ReplicatedState.entry("duty")
-                                    .put("key", "k" + random.nextInt(9))
-                                    .put("holder", "h" + random.nextInt(4));
+                            new ReplicatedEntry.SingletonRoleAssigned(
+                                    "k" + random.nextInt(9), "h" + random.nextInt(4));
                         default -> {
-                            ObjectNode message = ReplicatedState.entry(random.nextBoolean() ? "members" : "abort")
-                                    .put("epoch", number + 1);
+                            boolean isVoters = random.nextBoolean();
+                            List<String> voters = new ArrayList<>();
                             for (int v = random.nextInt(3); v < 5; v++) {
-                                message.withArray("voters").add("v" + (v * 7 + random.nextInt(3)) % 6);
+                                voters.add("v" + (v * 7 + random.nextInt(3)) % 6);
                             }
-                            yield message;
+                            yield isVoters
+                                    ? new ReplicatedEntry.VotersChanged(VoterSet.decode(voters))
+                                    : new ReplicatedEntry.CommitAborted(number + 1);
                         }
                     };
-            throughout.apply(index, entry);
-            restored.apply(index, entry);
+            String text = ReplicatedEntryCodec.encode(entry);
+            throughout.apply(index, ReplicatedEntryCodec.decode(text));
+            restored.apply(index, ReplicatedEntryCodec.decode(text));
             number = throughout.current().epoch();
             if (random.nextInt(20) == 0) {
                 ReplicatedState fresh = new ReplicatedState();
-                fresh.restore(json.readTree(restored.snapshot().toString()));
+                fresh.restore(ReplicatedStateSnapshotCodec.decode(
+                        ReplicatedStateSnapshotCodec.encode(restored.snapshot())));
                 restored = fresh;
             }
-            assertEquals(throughout.snapshot().toString(), restored.snapshot().toString(), "after entry " + index);
+            assertEquals(
+                    ReplicatedStateSnapshotCodec.encode(throughout.snapshot()),
+                    ReplicatedStateSnapshotCodec.encode(restored.snapshot()),
+                    "after entry " + index);
         }
     }
 
--- a/src/test/java/bramblespool/coordination/configuration/CommitPhaseTest.java
+++ b/src/test/java/bramblespool/coordination/configuration/CommitPhaseTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import java.util.ArrayList;
@@ -87,7 +88,8 @@
     void newLeaderTakesUpWhatTheLastOneLeft(
             long epoch, ReplicatedState.Phase phase, boolean hasCandidate, RecoveryAction expected) {
         ReplicatedState replicatedState = new ReplicatedState();
-        replicatedState.restore(snapshot(epoch, phase, hasCandidate));
+        replicatedState.restore(ReplicatedStateSnapshotCodec.decode(
+                snapshot(epoch, phase, hasCandidate).toString()));
         assertEquals(expected, RecoveryAction.of(replicatedState));
     }
 
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -3,7 +3,9 @@
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.state.DurableStore;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
@@ -210,9 +212,9 @@
     private static ReplicatedState replayed(DurableStore.PersistentState saved) {
         ReplicatedState replayedState = new ReplicatedState();
         if (saved.snapshot() != null && saved.snapshot().data() != null) {
-            replayedState.restore(parse(RaftView.snapshotState(saved.snapshot())));
+            replayedState.restore(ReplicatedStateSnapshotCodec.decode(RaftView.snapshotState(saved.snapshot())));
         }
-        saved.entries().forEach(e -> replayedState.apply(e.index(), parse(e.data())));
+        saved.entries().forEach(e -> replayedState.apply(e.index(), ReplicatedEntryCodec.decode(e.data())));
         return replayedState;
     }
 
@@ -284,14 +286,11 @@
                             RaftView.memberId(controller) + " goes back from " + previous + " to " + appliedIndex);
                 }
                 appliedByController.put(controller, appliedIndex);
-                JsonNode snapshot = controller.replicatedState().snapshot();
-                checkState(appliedIndex, snapshot.toString(), RaftView.memberId(controller));
-                Map<String, Long> versions = new LinkedHashMap<>();
-                snapshot.path("taken")
-                        .fields()
-                        .forEachRemaining(
-                                f -> versions.put(f.getKey(), f.getValue().asLong()));
-                history.recordCommitted(versions);
+                String state = ReplicatedStateSnapshotCodec.encode(
+                        controller.replicatedState().snapshot());
+                checkState(appliedIndex, state, RaftView.memberId(controller));
+                history.recordCommitted(new LinkedHashMap<>(
+                        controller.replicatedState().snapshot().configurations().committedDigests()));
                 checkStamp(controller.replicatedState().current());
                 checkStamp(controller.replicatedState().previous());
             }
--- a/src/test/java/bramblespool/state/RoutingConfigurationTest.java
+++ b/src/test/java/bramblespool/state/RoutingConfigurationTest.java
@@ -1,6 +1,7 @@
 package bramblespool.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -43,4 +44,22 @@
         assertNotEquals(configuration.difference(null), amended.difference(configuration));
         assertTrue(amended.difference(configuration).startsWith("+1 ~0 -1 "));
     }
+
+    @Test
+    void tenantIsFoundByItsKeyAndItsPriorityCountsBeforeTheRoutes() throws InvalidConfigurationException {
+        RoutingConfiguration open = RoutingConfigurationParser.parse(VALID_DOCUMENT);
+        assertFalse(open.requiresTenantKey());
+        assertNull(open.tenantOfKey("k1"));
+        RoutingConfiguration configuration = RoutingConfigurationParser.parse(VALID_DOCUMENT.replace(
+                "\"limits\"",
+                """
+                "principals":{"columns":["name","apiKeys","rank"],"rows":[["one",["k1"],9],["two",["k2"],null]]},"limits\""""));
+        assertTrue(configuration.requiresTenantKey());
+        assertEquals("one", configuration.tenantOfKey("k1").name());
+        assertNull(configuration.tenantOfKey("k3"));
+        Route route = configuration.route("x.example", "/p/1");
+        assertEquals(9, configuration.priority(route, "one"));
+        assertEquals(route.priority(), configuration.priority(route, "two"));
+        assertEquals(route.priority(), configuration.priority(route, null));
+    }
 }
