--- a/src/main/java/bramblespool/coordination/configuration/ConfigurationFreshness.java
+++ b/src/main/java/bramblespool/coordination/configuration/ConfigurationFreshness.java
@@ -4,7 +4,6 @@
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.transport.PeerTransport;
-import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.LongSupplier;
@@ -88,7 +87,7 @@
             return;
         }
         unavailableControllers.add(controller);
-        Collection<String> knownControllers = controllers.get();
+        Set<String> knownControllers = controllers.get();
         if (unavailableControllers.containsAll(knownControllers)) {
             state = State.WAIVED;
             return;
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -13,6 +13,7 @@
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterResult;
 import bramblespool.coordination.singleton.SingletonRoles;
 import bramblespool.coordination.singleton.UsageReporter;
 import bramblespool.coordination.tenancy.AdmissionClient;
@@ -44,7 +45,6 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -94,10 +94,10 @@
     private final EventLog log;
     private Settings settings;
     private final ReplicatedState replicatedState = new ReplicatedState();
-    public final GossipStore gossip;
-    public final RaftNode raft;
-    public final ShadowCommitCoordinator commitCoordinator;
-    public final RegisterProposer registerProposer;
+    private final GossipStore gossip;
+    private final RaftNode raft;
+    private final ShadowCommitCoordinator commitCoordinator;
+    private final RegisterProposer registerProposer;
     private final TenantRateLimiter rateLimiter;
     private final ShardLeases shardLeases;
     /** Whether this process founded its disk: nothing was ever granted before it. */
@@ -148,7 +148,7 @@
                 true,
                 new GossipStore.GossipPeers() {
                     @Override
-                    public Collection<String> pushTargets(GossipStore.Source source) {
+                    public List<String> pushTargets(GossipStore.Source source) {
                         // Whoever hears a thing first tells the other cells.
                         List<String> recipients = sessionPeers();
                         if (source != GossipStore.Source.CONTROLLER) {
@@ -438,10 +438,12 @@
                 request.path("instead").isTextual() ? request.path("instead").asText() : null,
                 Math.max(1, request.path("within").asLong() * 4 / 5),
                 result -> {
-                    switch (result.outcome()) {
-                        case CHOSEN -> response.put("verdict", "go");
-                        case CONFLICT -> response.put("verdict", "held").put("stands", result.value());
-                        default -> response.put("verdict", "none");
+                    if (result instanceof RegisterResult.Chosen) {
+                        response.put("verdict", "go");
+                    } else if (result instanceof RegisterResult.Conflict conflict) {
+                        response.put("verdict", "held").put("stands", conflict.currentValue());
+                    } else {
+                        response.put("verdict", "none");
                     }
                     callback.accept(response);
                 });
@@ -502,6 +504,18 @@
         return replicatedState;
     }
 
+    public RaftNode raft() {
+        return raft;
+    }
+
+    public ShadowCommitCoordinator commitCoordinator() {
+        return commitCoordinator;
+    }
+
+    public RegisterProposer registerProposer() {
+        return registerProposer;
+    }
+
     private void publishSelf() {
         isAnnouncedAsVoter = replicatedState.voterSinceIndexes().containsKey(raft == null ? "" : raft.localId());
         gossip.publish(JsonNodeFactory.instance
--- a/src/main/java/bramblespool/state/RoutingConfigurationValidator.java
+++ b/src/main/java/bramblespool/state/RoutingConfigurationValidator.java
@@ -85,6 +85,7 @@
      *
      * @return whether the key can be used
      */
+    @SuppressWarnings("ReferenceEquality") // a key may stand twice in the very same row
     boolean checkApiKey(DocumentReader reader, Tenant tenant, String apiKey) {
         if (apiKey.isBlank()) {
             reader.addFault(RoutingConfigurationParser.API_KEYS, "hold an empty key");
--- a/src/test/java/bramblespool/state/SqliteDurableStoreDamageTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreDamageTest.java
@@ -12,6 +12,7 @@
 import bramblespool.state.DurableStore.PersistentState;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.sql.Connection;
@@ -127,12 +128,11 @@
             store.close();
         }
         assertTrue(
-                logOutput
-                        .toString()
+                logOutput.toString(StandardCharsets.UTF_8)
                         .contains("ERROR B503 STORE_QUARANTINED node=n path=" + dir.resolve("helm.db.aside-1")
                                 + " cause="),
                 logOutput::toString);
-        assertEquals(1, logOutput.toString().split("B503", -1).length - 1, "said once");
+        assertEquals(1, logOutput.toString(StandardCharsets.UTF_8).split("B503", -1).length - 1, "said once");
         assertTrue(Arrays.equals(damagedContent, Files.readAllBytes(dir.resolve(setAsideName))), "as it was found");
         SqliteDurableStore store = openStore(new SyncedDirectory(dir), log);
         store.initialize("new", List.of());
@@ -189,13 +189,13 @@
         Files.write(dir.resolve(WAL), intact.files().get(WAL));
         disk.markSynced();
         disk.states.clear();
-        store.save(new Change(3, "y", 4, 0, List.of(), null), () -> logOutput.writeBytes("acknowledged".getBytes()));
+        store.save(new Change(3, "y", 4, 0, List.of(), null), () -> logOutput.writeBytes("acknowledged".getBytes(StandardCharsets.UTF_8)));
         assertTrue(damaged.await(120, TimeUnit.SECONDS));
         assertTrue(store.isFailing(), "no vote and no lead from here on");
-        store.save(new Change(4, "y", 4, 0, List.of(), null), () -> logOutput.writeBytes("acknowledged".getBytes()));
+        store.save(new Change(4, "y", 4, 0, List.of(), null), () -> logOutput.writeBytes("acknowledged".getBytes(StandardCharsets.UTF_8)));
         store.close();
-        assertFalse(logOutput.toString().contains("acknowledged"));
-        assertTrue(logOutput.toString().contains("B503"), logOutput::toString);
+        assertFalse(logOutput.toString(StandardCharsets.UTF_8).contains("acknowledged"));
+        assertTrue(logOutput.toString(StandardCharsets.UTF_8).contains("B503"), logOutput::toString);
         StoreContents lostContents = new StoreContents(null, List.of(), true);
         Random random = new Random(1);
         assertTrue(disk.states.size() > 3);
@@ -249,12 +249,12 @@
             SqliteDurableStore store = openStore(new SyncedDirectory(dir), log);
             ControllerNode core =
                     new ControllerNode(settings, store, "fresh", machine, machine, null, EventLog.silent());
-            assertTrue(core.raft.localId().endsWith("#" + wanted), core.raft.localId());
+            assertTrue(core.raft().localId().endsWith("#" + wanted), core.raft().localId());
             store.close();
-            if (logOutput.toString().contains("again")) {
+            if (logOutput.toString(StandardCharsets.UTF_8).contains("again")) {
                 StoreDamage.HEAD_GONE.damage.apply(dir.resolve(DB));
             }
-            logOutput.writeBytes("again".getBytes());
+            logOutput.writeBytes("again".getBytes(StandardCharsets.UTF_8));
         }
     }
 
--- a/src/test/java/bramblespool/state/SqliteDurableStoreFailureTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreFailureTest.java
@@ -8,6 +8,7 @@
 import bramblespool.state.DurableStore.Change;
 import bramblespool.state.DurableStore.LogEntry;
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.sql.Connection;
@@ -171,8 +172,7 @@
         store.close();
         assertEquals(
                 "B501 B502",
-                logOutput
-                        .toString()
+                logOutput.toString(StandardCharsets.UTF_8)
                         .replaceAll("(?s).*?(B50\\d)[^\\n]*\\n", "$1 ")
                         .trim(),
                 logOutput::toString);
