--- a/src/main/java/bramblespool/state/DurableStore.java
+++ b/src/main/java/bramblespool/state/DurableStore.java
@@ -61,10 +61,13 @@
      */
     record StoredRegister(String registerId, String promisedProposal, String acceptedProposal, String acceptedValue) {}
 
+    /** Whether the disk holds nothing: it is to be initialized before it is loaded or written. */
+    boolean isEmpty();
+
     /**
-     * What the disk held when it was opened or initialized, or null where it is empty.
+     * What the disk held when it was opened or initialized.
      *
-     * @throws IllegalStateException after the first write
+     * @throws IllegalStateException where it is empty, and after the first write
      */
     PersistentState load();
 
--- a/src/main/java/bramblespool/state/ReplicatedState.java
+++ b/src/main/java/bramblespool/state/ReplicatedState.java
@@ -24,7 +24,7 @@
      */
     private static final int MAX_COMMITTED_DIGESTS = 4096;
 
-    /** So many characters of a digest tell it from the others. */
+    /** So many characters of a digest are enough to distinguish it. */
     private static final int SHORT_DIGEST_CHARS = 32;
 
     /**
--- a/src/main/java/bramblespool/state/SqliteDatabaseFiles.java
+++ b/src/main/java/bramblespool/state/SqliteDatabaseFiles.java
@@ -22,6 +22,7 @@
  * alone.
  */
 final class SqliteDatabaseFiles {
+    /** Name of the file on the disks of running systems: from the former name of a controller. */
     static final String DATABASE = "helm.db";
     /** A database that is being created: of no worth until it has its final name. */
     private static final String TEMPORARY = "helm.new";
--- a/src/main/java/bramblespool/state/SqliteDurableStore.java
+++ b/src/main/java/bramblespool/state/SqliteDurableStore.java
@@ -59,7 +59,7 @@
     /** What that was at each of the last calls of {@link #expireRegisters}, the oldest first. */
     private final ArrayDeque<Long> periodSequences = new ArrayDeque<>();
 
-    /** A store that nobody is told of when it turns out damaged. */
+    /** A store without a callback for a damaged database. */
     public SqliteDurableStore(String directory, Executor eventLoop, LongSupplier clockMs, EventLog log) {
         this(directory, eventLoop, clockMs, log, () -> {});
     }
@@ -100,7 +100,7 @@
             files.open();
             return null;
         });
-        lastSequence = files.contents() == null ? 0 : files.contents().newestSequence();
+        lastSequence = isEmpty() ? 0 : files.contents().newestSequence();
         diskThread = new Thread(null, this::runDiskThread, "disk", DISK_THREAD_STACK_BYTES);
         diskThread.setDaemon(true);
         diskThread.start();
@@ -138,16 +138,24 @@
         return files;
     }
 
+    @Override
+    public boolean isEmpty() {
+        return files.connection() == null;
+    }
+
     @Override
     public PersistentState load() {
         checkUnchanged();
-        return files.contents() == null ? null : files.contents().persistentState();
+        if (isEmpty()) {
+            throw new IllegalStateException("the disk is empty");
+        }
+        return files.contents().persistentState();
     }
 
     @Override
     public List<StoredRegister> loadRegisters() {
         checkUnchanged();
-        return files.contents() == null ? List.of() : files.contents().registers();
+        return isEmpty() ? List.of() : files.contents().registers();
     }
 
     /** What was read when the store was opened is let go with the first write. */
@@ -164,7 +172,7 @@
 
     @Override
     public void initialize(String incarnation, List<LogEntry> initialEntries) {
-        if (files.connection() != null) {
+        if (!isEmpty()) {
             throw new IllegalStateException("the disk is not empty");
         }
         retryUntilDone(() -> {
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -231,17 +231,20 @@
 
     /** A disk is about to be lost: for a moment it counts among those that an entry had reached. */
     void onDiskWiped(Simulator.Machine machine) {
-        if (machine.disk.load() != null) {
+        if (!machine.disk.isEmpty()) {
             recentlyLostDisks.put(machine.disk.load(), mesh.simulator.nowMs());
         }
     }
 
     private List<DurableStore.PersistentState> disks() {
         List<DurableStore.PersistentState> out = new ArrayList<>();
-        mesh.simulator.machines().forEach(m -> out.add(m.disk.load()));
+        for (Simulator.Machine machine : mesh.simulator.machines()) {
+            if (!machine.disk.isEmpty()) {
+                out.add(machine.disk.load());
+            }
+        }
         recentlyLostDisks.values().removeIf(at -> mesh.simulator.nowMs() - at > LOST_DISK_GRACE_MS);
         out.addAll(recentlyLostDisks.keySet());
-        out.removeIf(s -> s == null);
         return out;
     }
 
--- a/src/test/java/bramblespool/state/RoutingConfigurationParserTest.java
+++ b/src/test/java/bramblespool/state/RoutingConfigurationParserTest.java
@@ -6,6 +6,7 @@
 import bramblespool.testing.SimulatedMesh;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvFileSource;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a configuration document may hold, and which faults are reported. */
@@ -47,22 +48,9 @@
         }
     }
 
-    /** What a lenient reader would mend by itself cannot be read whole, and what it would make of it was never sent. */
+    /** What only a lenient reader accepts is rejected: what it would make of it was never sent. */
     @ParameterizedTest
-    @CsvSource(
-            delimiter = '|',
-            quoteCharacter = '`',
-            value = {
-                "null,2|,2",
-                "\"epoch\":5|epoch:5",
-                "\"epoch\":5|\"epoch\"=5",
-                "\"epoch\":5|\"epoch\":0005",
-                "\"epoch\":5|/* 5 */ \"epoch\":5",
-                "\"epoch\":5,|\"epoch\":5;",
-                "\"/health\"|'/health'",
-                "\"desk\"]]|\"desk\"],]",
-                "13.0|NaN"
-            })
+    @CsvFileSource(resources = "/bramblespool/lenient-json.csv", delimiter = '|', quoteCharacter = '`')
     void lenientJsonIsRejected(String from, String to) {
         assertTrue(VALID_DOCUMENT.contains(from));
         assertThrows(
--- a/src/test/java/bramblespool/state/RoutingConfigurationTest.java
+++ b/src/test/java/bramblespool/state/RoutingConfigurationTest.java
@@ -30,8 +30,8 @@
         RoutingConfiguration configuration =
                 RoutingConfigurationParser.parse(VALID_DOCUMENT.replace("\"limits\"", "\"ours\":{\"x\":1},\"limits\""));
         JsonObject change = StrictJson.parseObject("""
-                {"epoch":7,"baseVersion":5,"upsert":{"routeTable":{"columns":["name","authority","pathPrefix","routeClass",
-                "deadline","goal","rank","target"],"rows":[["n","x.example","/n/","mutating","1s","1s",0,"desk"]]}},
+                {"epoch":7,"baseVersion":5,"upsert":{"routeTable":{"columns":["name","authority","pathPrefix",
+                "routeClass","deadline","goal","rank","target"],"rows":[["n","x.example","/n/","mutating","1s","1s",0,"desk"]]}},
                 "remove":{"routeTable":["r"]}}""");
         RoutingConfiguration amended = RoutingConfigurationParser.parse(
                 configuration.applyAmendment(change).toString());
@@ -52,7 +52,8 @@
         assertNull(open.tenantOfKey("k1"));
         RoutingConfiguration configuration =
                 RoutingConfigurationParser.parse(VALID_DOCUMENT.replace("\"limits\"", """
-                "principals":{"columns":["name","apiKeys","rank"],"rows":[["one",["k1"],9],["two",["k2"],null]]},"limits\""""));
+                "principals":{"columns":["name","apiKeys","rank"],
+                "rows":[["one",["k1"],9],["two",["k2"],null]]},"limits\""""));
         assertTrue(configuration.requiresTenantKey());
         assertEquals("one", configuration.tenantOfKey("k1").name());
         assertNull(configuration.tenantOfKey("k3"));
--- a/src/test/java/bramblespool/state/SettingsParserTest.java
+++ b/src/test/java/bramblespool/state/SettingsParserTest.java
@@ -42,7 +42,8 @@
                 "ready = \"10.0.1.1:8003\"||listeners.ready: is missing",
                 "address = \"10.9.9.9:80\"||platform.address: is missing",
                 "[platform]|[other]|platform: section is missing",
-                "discovery = \"platform\"|discovery = \"rumour\"|discovery: must be one of static, platform, not 'rumour'",
+                "discovery = \"platform\"|discovery = \"rumour\"|"
+                        + "discovery: must be one of static, platform, not 'rumour'",
                 "entry = \"virtual_ip\"|entry = \"door\"|entry: must be one of static, virtual_ip, not 'door'",
                 "portRange = [7000, 7010]|portRange = [7000, 7000]|portRange: must leave two ports"
             })
@@ -51,7 +52,8 @@
                 .replace("sidecar", "edge")
                 .replace(
                         "appAddr = \"10.0.1.1:9000\"\ntarget = \"desk\"",
-                        "deployment = \"api\"\ndiscovery = \"platform\"\nentry = \"virtual_ip\"\n[platform]\naddress = \"10.9.9.9:80\"")
+                        "deployment = \"api\"\ndiscovery = \"platform\"\nentry = \"virtual_ip\"\n"
+                                + "[platform]\naddress = \"10.9.9.9:80\"")
                 .replace("control = \"10.0.1.1:8000\"", "front = \"10.0.1.1:8004\"");
         assertTrue(good.contains(from), good);
         Settings fit = SettingsParser.parse(good, "hem.toml");
--- a/src/test/java/bramblespool/state/SqliteDurableStoreDamageTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreDamageTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.controller.ControllerNode;
@@ -25,6 +24,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import java.util.function.Predicate;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -122,7 +122,7 @@
         byte[] damagedContent = Files.readAllBytes(dir.resolve(setAsideName.endsWith("wal") ? WAL : DB));
         for (int start = 0; start < 2; start++) {
             SqliteDurableStore store = openStore(new SyncedDirectory(dir), log);
-            assertNull(store.load(), "never a part of it");
+            assertTrue(store.isEmpty(), "never a part of it");
             assertEquals(List.of(), store.loadRegisters());
             assertTrue(store.hasQuarantinedDatabase());
             store.close();
@@ -176,58 +176,53 @@
                 new SqliteDurableStore(disk, Runnable::run, System::nanoTime, log, damaged::countDown, () -> {});
         store.initialize("abc", List.of(new LogEntry(1, 0, "first")));
         save(store, new Change(2, "x", 3, 0, ENTRIES, null));
-        PersistentState latest = new PersistentState(
-                "abc",
-                2,
-                "x",
-                3,
-                null,
-                Stream.concat(Stream.of(new LogEntry(1, 0, "first")), ENTRIES.stream())
-                        .toList());
+        List<LogEntry> entries =
+                Stream.concat(Stream.of(new LogEntry(1, 0, "first")), ENTRIES.stream()).toList();
+        PersistentState latest = new PersistentState("abc", 2, "x", 3, null, entries);
         DiskState intact = disk.markSynced();
         corruptOpenStore(store);
         // On the disk it is whole, so that any older state of it would pass for one.
         Files.write(dir.resolve(WAL), intact.files().get(WAL));
         disk.markSynced();
         disk.states.clear();
-        store.save(
-                new Change(3, "y", 4, 0, List.of(), null),
-                () -> logOutput.writeBytes("acknowledged".getBytes(StandardCharsets.UTF_8)));
+        Runnable onDurable = () -> logOutput.writeBytes("acknowledged".getBytes(StandardCharsets.UTF_8));
+        store.save(new Change(3, "y", 4, 0, List.of(), null), onDurable);
         assertTrue(damaged.await(120, TimeUnit.SECONDS));
         assertTrue(store.isFailing(), "no vote and no lead from here on");
-        store.save(
-                new Change(4, "y", 4, 0, List.of(), null),
-                () -> logOutput.writeBytes("acknowledged".getBytes(StandardCharsets.UTF_8)));
+        store.save(new Change(4, "y", 4, 0, List.of(), null), onDurable);
         store.close();
         assertFalse(logOutput.toString(StandardCharsets.UTF_8).contains("acknowledged"));
         assertTrue(logOutput.toString(StandardCharsets.UTF_8).contains("B503"), logOutput::toString);
         StoreContents lostContents = new StoreContents(null, List.of(), true);
         Random random = new Random(1);
         assertTrue(disk.states.size() > 3);
-        for (DiskState state : disk.states) {
-            for (int i = 0; i < 8; i++) {
-                StoreContents contents = open(state.afterPowerLoss(random));
-                assertTrue(
-                        contents.equals(lostContents)
-                                || contents.saved() != null && contents.saved().equals(latest),
-                        () -> "an old state of it: " + contents);
-            }
-        }
+        assertEachStateHolds(
+                disk,
+                random,
+                contents -> contents.equals(lostContents)
+                        || contents.saved() != null && contents.saved().equals(latest));
         disk.states.clear();
         store = openStore(disk, log);
         assertEquals(
-                lostContents, new StoreContents(store.load(), store.loadRegisters(), store.hasQuarantinedDatabase()));
+                lostContents, StoreContents.of(store));
         store.initialize("new", List.of());
         StoreContents refounded =
                 new StoreContents(new PersistentState("new", 0, null, 0, null, List.of()), List.of(), true);
+        assertEachStateHolds(
+                disk, random, contents -> contents.equals(lostContents) || contents.equals(refounded));
+        assertEquals(refounded, open(disk.state().afterPowerLoss(random)));
+        store.close();
+    }
+
+    /** What may be left of each recorded state after a loss of power. */
+    private void assertEachStateHolds(RecordingDirectory disk, Random random, Predicate<StoreContents> isAllowed)
+            throws Exception {
         for (DiskState state : disk.states) {
             for (int i = 0; i < 8; i++) {
                 StoreContents contents = open(state.afterPowerLoss(random));
-                assertTrue(contents.equals(lostContents) || contents.equals(refounded), contents::toString);
+                assertTrue(isAllowed.test(contents), contents::toString);
             }
         }
-        assertEquals(refounded, open(disk.state().afterPowerLoss(random)));
-        store.close();
     }
 
     @Test
--- a/src/test/java/bramblespool/state/SqliteDurableStoreFailureTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreFailureTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.state.DurableStore.Change;
@@ -86,83 +85,96 @@
         FULL_WHILE_FOUNDING
     }
 
-    @ParameterizedTest
-    @EnumSource(DiskFailure.class)
-    void startWaitsForFailingDisk(DiskFailure failure) throws Exception {
-        boolean isFounding = failure == DiskFailure.FULL_WHILE_FOUNDING || failure == DiskFailure.FULL_FOR_NAMES;
-        if (!isFounding) {
-            Files.write(dir.resolve(DB), referenceStore);
-        }
-        Path movedAside = dir.resolveSibling(dir.getFileName() + "-away");
-        Connection lockingConnection = null;
-        switch (failure) {
-            case NO_FOLDER -> Files.move(dir, movedAside);
-            case LOCKED -> {
-                lockingConnection = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve(DB));
-                sql(lockingConnection, "PRAGMA locking_mode=EXCLUSIVE", "BEGIN EXCLUSIVE");
-            }
-            case FOLDER_IN_ITS_PLACE -> {
-                Files.move(dir.resolve(DB), movedAside);
-                Files.createDirectory(dir.resolve(DB));
+    /** A disk that fails at one point until it is repaired. */
+    private static final class FailingDisk extends SyncedDirectory {
+        private final DiskFailure failure;
+        private final Path movedAside;
+        private Connection lockingConnection;
+        private boolean isRepaired;
+
+        FailingDisk(Path path, DiskFailure failure) throws IOException, SQLException {
+            super(path);
+            this.failure = failure;
+            this.movedAside = path.resolveSibling(path.getFileName() + "-away");
+            switch (failure) {
+                case NO_FOLDER -> Files.move(path, movedAside);
+                case LOCKED -> {
+                    lockingConnection = DriverManager.getConnection("jdbc:sqlite:" + path.resolve(DB));
+                    sql(lockingConnection, "PRAGMA locking_mode=EXCLUSIVE", "BEGIN EXCLUSIVE");
+                }
+                case FOLDER_IN_ITS_PLACE -> {
+                    Files.move(path.resolve(DB), movedAside);
+                    Files.createDirectory(path.resolve(DB));
+                }
+                default -> {}
             }
-            default -> {}
         }
-        boolean[] isWorking = new boolean[1];
-        SyncedDirectory directory = new SyncedDirectory(dir) {
-            private void check(DiskFailure at) throws IOException {
-                if (failure == at && !isWorking[0]) {
-                    throw new IOException("No space left on device");
+
+        void repair() {
+            isRepaired = true;
+            try {
+                switch (failure) {
+                    case NO_FOLDER -> Files.move(movedAside, path);
+                    case LOCKED -> lockingConnection.close();
+                    case FOLDER_IN_ITS_PLACE -> {
+                        Files.delete(path.resolve(DB));
+                        Files.move(movedAside, path.resolve(DB));
+                    }
+                    default -> {}
                 }
+            } catch (IOException | SQLException e) {
+                throw new AssertionError(e);
             }
+        }
 
-            @Override
-            void createIfAbsent(String name) throws IOException {
-                check(DiskFailure.FULL_FOR_THE_LOG);
-                super.createIfAbsent(name);
+        private void failAt(DiskFailure point) throws IOException {
+            if (failure == point && !isRepaired) {
+                throw new IOException("No space left on device");
             }
+        }
 
-            @Override
-            void move(String from, String to) throws IOException {
-                check(DiskFailure.FULL_FOR_NAMES);
-                super.move(from, to);
-            }
+        @Override
+        void createIfAbsent(String name) throws IOException {
+            failAt(DiskFailure.FULL_FOR_THE_LOG);
+            super.createIfAbsent(name);
+        }
 
-            @Override
-            void sync(String name) throws IOException {
-                check(DiskFailure.FULL_WHILE_FOUNDING);
-                super.sync(name);
-            }
+        @Override
+        void move(String from, String to) throws IOException {
+            failAt(DiskFailure.FULL_FOR_NAMES);
+            super.move(from, to);
+        }
 
-            @Override
-            void sync() throws IOException {
-                check(DiskFailure.NO_SYNC);
-                super.sync();
-            }
-        };
+        @Override
+        void sync(String name) throws IOException {
+            failAt(DiskFailure.FULL_WHILE_FOUNDING);
+            super.sync(name);
+        }
+
+        @Override
+        void sync() throws IOException {
+            failAt(DiskFailure.NO_SYNC);
+            super.sync();
+        }
+    }
+
+    @ParameterizedTest
+    @EnumSource(DiskFailure.class)
+    void startWaitsForFailingDisk(DiskFailure failure) throws Exception {
+        boolean isFounding = failure == DiskFailure.FULL_WHILE_FOUNDING || failure == DiskFailure.FULL_FOR_NAMES;
+        if (!isFounding) {
+            Files.write(dir.resolve(DB), referenceStore);
+        }
+        FailingDisk disk = new FailingDisk(dir, failure);
         int[] pauses = new int[1];
-        Connection connectionToClose = lockingConnection;
         SqliteDurableStore store =
-                new SqliteDurableStore(directory, Runnable::run, System::nanoTime, log, () -> {}, () -> {
-                    if (++pauses[0] < 3) {
-                        return;
-                    }
-                    isWorking[0] = true;
-                    try {
-                        switch (failure) {
-                            case NO_FOLDER -> Files.move(movedAside, dir);
-                            case LOCKED -> connectionToClose.close();
-                            case FOLDER_IN_ITS_PLACE -> {
-                                Files.delete(dir.resolve(DB));
-                                Files.move(movedAside, dir.resolve(DB));
-                            }
-                            default -> {}
-                        }
-                    } catch (IOException | SQLException e) {
-                        throw new AssertionError(e);
+                new SqliteDurableStore(disk, Runnable::run, System::nanoTime, log, () -> {}, () -> {
+                    if (++pauses[0] >= 3) {
+                        disk.repair();
                     }
                 });
         if (isFounding) {
-            assertNull(store.load());
+            assertTrue(store.isEmpty());
             store.initialize("abc", List.of());
         }
         assertEquals(3, pauses[0]);
--- a/src/test/java/bramblespool/state/SqliteDurableStorePowerLossTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStorePowerLossTest.java
@@ -1,7 +1,6 @@
 package bramblespool.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.state.DurableStore.Change;
@@ -31,20 +30,10 @@
         Random random = new Random(seed);
         RecordingDirectory disk = new RecordingDirectory(dir);
         SqliteDurableStore store = openStore(disk, log);
-        assertNull(store.load());
+        assertTrue(store.isEmpty());
         ExpectedStore expected = new ExpectedStore();
         store.initialize("abc", expected.saved.entries());
-        for (DiskState state : disk.states) {
-            for (int i = 0; i < 4; i++) {
-                StoreContents contents = open(state.afterPowerLoss(random));
-                assertTrue(
-                        contents.saved() == null && !contents.isQuarantined() || contents.equals(expected.contents()),
-                        contents::toString);
-            }
-        }
-        for (int i = 0; i < 4; i++) {
-            assertEquals(expected.contents(), open(disk.state().afterPowerLoss(random)), "it was founded");
-        }
+        assertFoundedWholeOrNotAtAll(disk, expected.contents(), random);
         sql(store.files().connection(), "PRAGMA wal_autocheckpoint=12");
         DiskState before = disk.markSynced();
         int movedCount = 0;
@@ -53,24 +42,10 @@
         int keptCount = 0;
         for (int step = 0; step < 40; step++) {
             StoreContents previous = expected.contents();
-            if (random.nextInt(4) == 0) {
-                List<StoredRegister> registers = List.of(
-                        new StoredRegister("r" + step, "1.a", "1.a", ExpectedStore.randomText(random, 900)),
-                        new StoredRegister("", null, null, "7"));
-                expected.registers.addAll(registers);
-                saveRegisters(store, registers);
-            } else {
-                Change change = expected.nextChange(random);
-                expected.apply(change);
-                save(store, change);
-            }
+            writeSomething(store, expected, step, random);
             DiskState after = disk.markSynced();
             movedCount += Arrays.equals(before.files().get(DB), after.files().get(DB)) ? 0 : 1;
-            restartedLogCount += Arrays.equals(
-                            Arrays.copyOf(before.files().get(WAL), 32),
-                            Arrays.copyOf(after.files().get(WAL), 32))
-                    ? 0
-                    : 1;
+            restartedLogCount += Arrays.equals(logHead(before), logHead(after)) ? 0 : 1;
             for (int i = 0; i < 4; i++) {
                 StoreContents contents =
                         open(stateDuringWrite(before, after, random).afterPowerLoss(random));
@@ -94,7 +69,42 @@
         assertEquals(expected.contents(), open(read(dir)));
     }
 
-    /** The process is killed before its sync; the next one reads what was written, tells it, and loses power. */
+    private void assertFoundedWholeOrNotAtAll(RecordingDirectory disk, StoreContents founded, Random random)
+            throws Exception {
+        for (DiskState state : disk.states) {
+            for (int i = 0; i < 4; i++) {
+                StoreContents contents = open(state.afterPowerLoss(random));
+                assertTrue(
+                        contents.saved() == null && !contents.isQuarantined() || contents.equals(founded),
+                        contents::toString);
+            }
+        }
+        for (int i = 0; i < 4; i++) {
+            assertEquals(founded, open(disk.state().afterPowerLoss(random)), "it was founded");
+        }
+    }
+
+    private static void writeSomething(SqliteDurableStore store, ExpectedStore expected, int step, Random random)
+            throws InterruptedException {
+        if (random.nextInt(4) == 0) {
+            List<StoredRegister> registers = List.of(
+                    new StoredRegister("r" + step, "1.a", "1.a", ExpectedStore.randomText(random, 900)),
+                    new StoredRegister("", null, null, "7"));
+            expected.registers.addAll(registers);
+            saveRegisters(store, registers);
+        } else {
+            Change change = expected.nextChange(random);
+            expected.apply(change);
+            save(store, change);
+        }
+    }
+
+    /** The head of the write-ahead log: another one where SQLite has begun the log anew. */
+    private static byte[] logHead(DiskState state) {
+        return Arrays.copyOf(state.files().get(WAL), 32);
+    }
+
+    /** The process is killed before its sync; the next one reads what was written, sends it on, and loses power. */
     private void assertKilledThenPowerLost(DiskState before, DiskState after, Random random, Set<StoreContents> allowed)
             throws Exception {
         Path path = createDirectory("killed");
@@ -104,10 +114,10 @@
         disk.names.add(DB);
         disk.synced.putAll(before.synced());
         SqliteDurableStore store = openStore(disk, log);
-        StoreContents loaded = new StoreContents(store.load(), store.loadRegisters(), store.hasQuarantinedDatabase());
+        StoreContents loaded = StoreContents.of(store);
         assertTrue(allowed.contains(loaded));
         for (int i = 0; i < 3; i++) {
-            assertEquals(loaded, open(disk.state().afterPowerLoss(random)), "it was told after a start");
+            assertEquals(loaded, open(disk.state().afterPowerLoss(random)), "it was read after a start");
         }
         store.close();
     }
@@ -173,7 +183,7 @@
                     entries);
         }
 
-        /** Entries added, agreed, taken back, folded. */
+        /** Entries appended, committed, truncated, covered by a snapshot. */
         Change nextChange(Random random) {
             long term = saved.currentTerm() + (random.nextInt(4) == 0 ? 1 : 0);
             long commit = saved.commitIndex() + random.nextInt((int) (lastIndex() - saved.commitIndex()) + 1);
--- a/src/test/java/bramblespool/state/SqliteDurableStoreTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreTest.java
@@ -1,7 +1,6 @@
 package bramblespool.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.state.DurableStore.Change;
@@ -59,7 +58,7 @@
     void acknowledgedStateIsLoadedAgain() throws Exception {
         SqliteDurableStore store =
                 new SqliteDurableStore(dir.toString(), Runnable::run, System::nanoTime, EventLog.silent());
-        assertNull(store.load());
+        assertTrue(store.isEmpty());
         store.initialize("abc", List.of(new LogEntry(1, 0, "first")));
         CountDownLatch done = new CountDownLatch(3);
         store.save(
--- a/src/test/java/bramblespool/state/StoreTestSupport.java
+++ b/src/test/java/bramblespool/state/StoreTestSupport.java
@@ -58,7 +58,7 @@
             Files.write(path.resolve(file.getKey()), file.getValue());
         }
         SqliteDurableStore store = openStore(new DirectoryImage(path), EventLog.silent());
-        StoreContents contents = new StoreContents(store.load(), store.loadRegisters(), store.hasQuarantinedDatabase());
+        StoreContents contents = StoreContents.of(store);
         if (store.files().connection() != null) {
             sql(store.files().connection(), "PRAGMA synchronous=OFF");
         }
--- a/src/test/java/bramblespool/state/UnmarkedStoreFormatTest.java
+++ b/src/test/java/bramblespool/state/UnmarkedStoreFormatTest.java
@@ -25,7 +25,8 @@
 /** Databases of the first form, without marks and checksums. */
 class UnmarkedStoreFormatTest extends StoreTestSupport {
     private static final String[] UNMARKED_SCHEMA = {
-        "CREATE TABLE self(id INTEGER PRIMARY KEY CHECK(id=1), incarnation TEXT, term INTEGER, vote TEXT, agreed INTEGER)",
+        "CREATE TABLE self(id INTEGER PRIMARY KEY CHECK(id=1), incarnation TEXT, term INTEGER, vote TEXT,"
+                + " agreed INTEGER)",
         "CREATE TABLE log(idx INTEGER PRIMARY KEY, term INTEGER, data TEXT)",
         "CREATE TABLE register(seq INTEGER PRIMARY KEY, id TEXT, promised TEXT, accepted TEXT, value TEXT)",
         "CREATE TABLE snapshot(id INTEGER PRIMARY KEY CHECK(id=1), idx INTEGER, term INTEGER, voters TEXT, data TEXT)"
@@ -95,7 +96,7 @@
         }
         SqliteDurableStore store = openStore(disk, log);
         StoreContents empty = new StoreContents(null, List.of(), false);
-        assertEquals(empty, new StoreContents(store.load(), store.loadRegisters(), store.hasQuarantinedDatabase()));
+        assertEquals(empty, StoreContents.of(store));
         store.initialize("abc", List.of());
         StoreContents founded =
                 new StoreContents(new PersistentState("abc", 0, null, 0, null, List.of()), List.of(), false);
--- a/src/test/java/bramblespool/testing/Simulator.java
+++ b/src/test/java/bramblespool/testing/Simulator.java
@@ -465,8 +465,16 @@
             }
         }
 
+        @Override
+        public boolean isEmpty() {
+            return held == null;
+        }
+
         @Override
         public PersistentState load() {
+            if (held == null) {
+                throw new IllegalStateException("the disk is empty");
+            }
             return held;
         }
 
