--- a/src/main/java/bramblespool/coordination/configuration/CommitLog.java
+++ b/src/main/java/bramblespool/coordination/configuration/CommitLog.java
@@ -10,8 +10,7 @@
 import java.util.function.Consumer;
 
 /**
- * Writes a commit's progress to the controllers' replicated log, so that the next leader can take it up. The callbacks
- * take what became of the entry.
+ * Writes a commit's progress to the controllers' replicated log, so that the next leader can take it up.
  */
 final class CommitLog {
     private final RaftNode raft;
--- a/src/main/java/bramblespool/coordination/configuration/ConfigurationFreshness.java
+++ b/src/main/java/bramblespool/coordination/configuration/ConfigurationFreshness.java
@@ -4,6 +4,7 @@
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
 import bramblespool.transport.PeerTransport;
+import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.LongSupplier;
@@ -87,7 +88,7 @@
             return;
         }
         unavailableControllers.add(controller);
-        Set<String> knownControllers = controllers.get();
+        Collection<String> knownControllers = controllers.get();
         if (unavailableControllers.containsAll(knownControllers)) {
             state = State.WAIVED;
             return;
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -144,8 +144,8 @@
         RoutingConfiguration candidate = ((CandidateFactory.Candidate) evaluation).configuration();
         isBusy = true;
         BooleanSupplier isStillLeading = leadership.currentLeadership();
-        commitLog.storeCandidate(pending.change(), candidate, proposal -> {
-            if (proposal != ProposalOutcome.COMMITTED || !isStillLeading.getAsBoolean()) {
+        commitLog.storeCandidate(pending.change(), candidate, outcome -> {
+            if (outcome != ProposalOutcome.COMMITTED || !isStillLeading.getAsBoolean()) {
                 pending.complete(new ChangeOutcome.LeadershipLost());
                 return;
             }
@@ -234,8 +234,8 @@
         BooleanSupplier isStillLeading = leadership.currentLeadership();
         log.log(Event.COMMIT_ABORTED, "epoch", epoch, "cause", reason);
         phaseRunner.abort(epoch, stamp, members.get(), () -> {});
-        commitLog.abortCandidate(epoch, proposal -> {
-            if (proposal == ProposalOutcome.COMMITTED && isStillLeading.getAsBoolean()) {
+        commitLog.abortCandidate(epoch, outcome -> {
+            if (outcome == ProposalOutcome.COMMITTED && isStillLeading.getAsBoolean()) {
                 onAborted.run();
             }
         });
@@ -246,8 +246,8 @@
         BooleanSupplier isStillLeading = leadership.currentLeadership();
         unconfirmed = members.get();
         unconfirmed.removeAll(confirmed);
-        commitLog.decideCandidate(candidate.epoch(), proposal -> {
-            if (proposal != ProposalOutcome.COMMITTED
+        commitLog.decideCandidate(candidate.epoch(), outcome -> {
+            if (outcome != ProposalOutcome.COMMITTED
                     || !replicatedState.isCommitted(pending.change().digest())) {
                 pending.complete(new ChangeOutcome.LeadershipLost());
                 return;
@@ -272,8 +272,8 @@
             }
             commit.unresponsive().addAll(unresponsive);
             ReplicatedState.Phase recorded = phase.recordedAs().orElseThrow();
-            commitLog.recordPhase(commit.epoch(), recorded, proposal -> {
-                if (proposal == ProposalOutcome.COMMITTED) {
+            commitLog.recordPhase(commit.epoch(), recorded, outcome -> {
+                if (outcome == ProposalOutcome.COMMITTED) {
                     runNextPhase(phase, commit, isStillLeading);
                 }
             });
