--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -171,8 +171,7 @@
                 });
         gossip.registerOwnKey(GossipKeys.CONTROLLER_KEY_PREFIX + settings.node(), this::publishSelf);
         gossip.addListener(this::onGossipEntry);
-        this.hasFreshStore =
-                durableStore.isEmpty() && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
+        this.hasFreshStore = durableStore.isEmpty() && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
         if (durableStore.isEmpty()) {
             List<String> founders =
                     settings.seedPeers().stream().map(settings::peerAddressOf).toList();
--- a/src/test/java/bramblespool/state/RoutingConfigurationTest.java
+++ b/src/test/java/bramblespool/state/RoutingConfigurationTest.java
@@ -31,7 +31,8 @@
                 RoutingConfigurationParser.parse(VALID_DOCUMENT.replace("\"limits\"", "\"ours\":{\"x\":1},\"limits\""));
         JsonObject change = StrictJson.parseObject("""
                 {"epoch":7,"baseVersion":5,"upsert":{"routeTable":{"columns":["name","authority","pathPrefix",
-                "routeClass","deadline","goal","rank","target"],"rows":[["n","x.example","/n/","mutating","1s","1s",0,"desk"]]}},
+                "routeClass","deadline","goal","rank","target"],
+                "rows":[["n","x.example","/n/","mutating","1s","1s",0,"desk"]]}},
                 "remove":{"routeTable":["r"]}}""");
         RoutingConfiguration amended = RoutingConfigurationParser.parse(
                 configuration.applyAmendment(change).toString());
--- a/src/test/java/bramblespool/state/SqliteDurableStoreDamageTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreDamageTest.java
@@ -16,7 +16,6 @@
 import java.nio.file.Path;
 import java.sql.Connection;
 import java.sql.DriverManager;
-import java.sql.SQLException;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
@@ -158,7 +157,8 @@
     }
 
     /** Breaks an open store: its table of tables is unreadable from now on, and what is on the disk is as it was. */
-    private static void corruptOpenStore(SqliteDurableStore store) throws SQLException {
+    private void corruptOpenStore(SqliteDurableStore store, RecordingDirectory disk) throws Exception {
+        DiskState intact = disk.markSynced();
         sql(
                 store.files().connection(),
                 "PRAGMA writable_schema=ON",
@@ -166,6 +166,10 @@
                 "UPDATE sqlite_schema SET rootpage=rootpage+90000 WHERE name IN('self','log')",
                 "COMMIT",
                 "PRAGMA writable_schema=RESET");
+        // On the disk it is whole, so that any older state of it would pass for one.
+        Files.write(dir.resolve(WAL), intact.files().get(WAL));
+        disk.markSynced();
+        disk.states.clear();
     }
 
     @Test
@@ -176,15 +180,10 @@
                 new SqliteDurableStore(disk, Runnable::run, System::nanoTime, log, damaged::countDown, () -> {});
         store.initialize("abc", List.of(new LogEntry(1, 0, "first")));
         save(store, new Change(2, "x", 3, 0, ENTRIES, null));
-        List<LogEntry> entries =
-                Stream.concat(Stream.of(new LogEntry(1, 0, "first")), ENTRIES.stream()).toList();
+        List<LogEntry> entries = Stream.concat(Stream.of(new LogEntry(1, 0, "first")), ENTRIES.stream())
+                .toList();
         PersistentState latest = new PersistentState("abc", 2, "x", 3, null, entries);
-        DiskState intact = disk.markSynced();
-        corruptOpenStore(store);
-        // On the disk it is whole, so that any older state of it would pass for one.
-        Files.write(dir.resolve(WAL), intact.files().get(WAL));
-        disk.markSynced();
-        disk.states.clear();
+        corruptOpenStore(store, disk);
         Runnable onDurable = () -> logOutput.writeBytes("acknowledged".getBytes(StandardCharsets.UTF_8));
         store.save(new Change(3, "y", 4, 0, List.of(), null), onDurable);
         assertTrue(damaged.await(120, TimeUnit.SECONDS));
@@ -203,13 +202,11 @@
                         || contents.saved() != null && contents.saved().equals(latest));
         disk.states.clear();
         store = openStore(disk, log);
-        assertEquals(
-                lostContents, StoreContents.of(store));
+        assertEquals(lostContents, StoreContents.of(store));
         store.initialize("new", List.of());
         StoreContents refounded =
                 new StoreContents(new PersistentState("new", 0, null, 0, null, List.of()), List.of(), true);
-        assertEachStateHolds(
-                disk, random, contents -> contents.equals(lostContents) || contents.equals(refounded));
+        assertEachStateHolds(disk, random, contents -> contents.equals(lostContents) || contents.equals(refounded));
         assertEquals(refounded, open(disk.state().afterPowerLoss(random)));
         store.close();
     }
--- a/src/test/java/bramblespool/state/SqliteDurableStoreFailureTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreFailureTest.java
@@ -167,12 +167,11 @@
         }
         FailingDisk disk = new FailingDisk(dir, failure);
         int[] pauses = new int[1];
-        SqliteDurableStore store =
-                new SqliteDurableStore(disk, Runnable::run, System::nanoTime, log, () -> {}, () -> {
-                    if (++pauses[0] >= 3) {
-                        disk.repair();
-                    }
-                });
+        SqliteDurableStore store = new SqliteDurableStore(disk, Runnable::run, System::nanoTime, log, () -> {}, () -> {
+            if (++pauses[0] >= 3) {
+                disk.repair();
+            }
+        });
         if (isFounding) {
             assertTrue(store.isEmpty());
             store.initialize("abc", List.of());
--- a/src/test/java/bramblespool/state/SqliteDurableStorePowerLossTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStorePowerLossTest.java
@@ -30,10 +30,8 @@
         Random random = new Random(seed);
         RecordingDirectory disk = new RecordingDirectory(dir);
         SqliteDurableStore store = openStore(disk, log);
-        assertTrue(store.isEmpty());
         ExpectedStore expected = new ExpectedStore();
-        store.initialize("abc", expected.saved.entries());
-        assertFoundedWholeOrNotAtAll(disk, expected.contents(), random);
+        initialize(store, disk, expected, random);
         sql(store.files().connection(), "PRAGMA wal_autocheckpoint=12");
         DiskState before = disk.markSynced();
         int movedCount = 0;
@@ -69,8 +67,12 @@
         assertEquals(expected.contents(), open(read(dir)));
     }
 
-    private void assertFoundedWholeOrNotAtAll(RecordingDirectory disk, StoreContents founded, Random random)
+    /** Founds the store; a loss of power meanwhile leaves all of it or nothing. */
+    private void initialize(SqliteDurableStore store, RecordingDirectory disk, ExpectedStore expected, Random random)
             throws Exception {
+        assertTrue(store.isEmpty());
+        store.initialize("abc", expected.saved.entries());
+        StoreContents founded = expected.contents();
         for (DiskState state : disk.states) {
             for (int i = 0; i < 4; i++) {
                 StoreContents contents = open(state.afterPowerLoss(random));
