--- a/src/test/java/bramblespool/coordination/register/RegisterTestContext.java
+++ b/src/test/java/bramblespool/coordination/register/RegisterTestContext.java
@@ -5,15 +5,15 @@
 import bramblespool.state.DurableStore;
 import bramblespool.state.DurableStore.StoredRegister;
 import bramblespool.state.EventLog;
+import bramblespool.state.ReplicatedEntry;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.VoterSet;
 import bramblespool.testing.FakeClock;
 import bramblespool.testing.FakeTransport;
 import bramblespool.testing.FakeTransport.Call;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -34,12 +34,7 @@
     }
 
     void setVoters(long epoch, String... ids) {
-        ObjectNode entry = new ObjectMapper().createObjectNode().put("k", "members");
-        ArrayNode voters = entry.putArray("voters");
-        for (String id : ids) {
-            voters.add(id);
-        }
-        replicatedState.apply(epoch, entry);
+        replicatedState.apply(epoch, new ReplicatedEntry.VotersChanged(VoterSet.decode(List.of(ids))));
     }
 
     RegisterVoters voters() {
@@ -102,6 +97,11 @@
             }
         }
 
+        @Override
+        public boolean isEmpty() {
+            return false;
+        }
+
         @Override
         public List<StoredRegister> loadRegisters() {
             return writes.stream().flatMap(List::stream).toList();
