--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitCoordinator.java
@@ -156,7 +156,7 @@
             log.log(
                     Event.CONFIGURATION_CANDIDATE_STORED,
                     "epoch",
-                    candidate.epoch,
+                    candidate.epoch(),
                     "base",
                     pending.change().baseVersion());
             candidates.onCandidateStored(candidate);
@@ -209,13 +209,13 @@
             Set<String> confirmed = acknowledgements.confirmed();
             Set<String> unresponsive = acknowledgements.unconfirmedOf(proxies);
             if (!unresponsive.isEmpty()) {
-                log.log(Event.COMMIT_UNCONFIRMED, "epoch", candidate.epoch, "proxies", unresponsive);
+                log.log(Event.COMMIT_UNCONFIRMED, "epoch", candidate.epoch(), "proxies", unresponsive);
             }
             if (unresponsive.isEmpty() || attemptsLeft <= 1) {
                 decide(pending, candidate, confirmed);
                 return;
             }
-            phaseRunner.abort(candidate.epoch, candidate.stamp, confirmed, () -> {
+            phaseRunner.abort(candidate.epoch(), candidate.stamp(), confirmed, () -> {
                 if (isStillLeading.getAsBoolean()) {
                     distribute(pending, candidate, confirmed, attemptsLeft - 1);
                 } else {
@@ -227,7 +227,7 @@
 
     private void rejectCandidate(
             PendingChange pending, RoutingConfiguration candidate, ChangeOutcome.RejectedByProxies outcome) {
-        abort(candidate.epoch, candidate.stamp, outcome.reason(), () -> {
+        abort(candidate.epoch(), candidate.stamp(), outcome.reason(), () -> {
             pending.complete(outcome);
             startNext();
         });
@@ -250,17 +250,17 @@
         BooleanSupplier isStillLeading = leadership.currentLeadership();
         unconfirmed = members.get();
         unconfirmed.removeAll(confirmed);
-        commitLog.decideCandidate(candidate.epoch, outcome -> {
+        commitLog.decideCandidate(candidate.epoch(), outcome -> {
             if (outcome != ProposalOutcome.COMMITTED
                     || !replicatedState.isCommitted(pending.change().digest())) {
                 pending.complete(new ChangeOutcome.LeadershipLost());
                 return;
             }
-            log.log(Event.COMMIT_DECIDED, "epoch", candidate.epoch);
-            pending.complete(new ChangeOutcome.Committed(candidate.epoch));
+            log.log(Event.COMMIT_DECIDED, "epoch", candidate.epoch());
+            pending.complete(new ChangeOutcome.Committed(candidate.epoch()));
             completeDecidedChanges();
             if (isStillLeading.getAsBoolean()) {
-                runPhase(CommitPhase.TAG_PACKET, new DecidedCommit(candidate.epoch, confirmed));
+                runPhase(CommitPhase.TAG_PACKET, new DecidedCommit(candidate.epoch(), confirmed));
             }
         });
     }
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
@@ -98,7 +98,7 @@
 
     /** The number of the version in force; 0 before the first. */
     public long epoch() {
-        return realConfiguration() == null ? 0 : realConfiguration().epoch;
+        return realConfiguration() == null ? 0 : realConfiguration().epoch();
     }
 
     /** Whether calls are marked with tags instead of the shadow bit. */
@@ -166,7 +166,7 @@
      * @param openForMs how long the phase may stay open for other proxies; added to the time limit
      */
     CandidateOutcome recordCandidate(long oldEpoch, long newEpoch, RoutingConfiguration candidate, long openForMs) {
-        if (isReal(newEpoch, candidate.stamp)) {
+        if (isReal(newEpoch, candidate.stamp())) {
             return CandidateOutcome.ALREADY_REAL;
         }
         if (epoch() != oldEpoch) {
@@ -176,7 +176,7 @@
         tags = new CommitTags(oldEpoch, newEpoch);
         state = state.after(CommitPhase.TAG_DISTRIBUTION);
         cancelRevertTimer();
-        revertTimer = clock.schedule(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp));
+        revertTimer = clock.schedule(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp()));
         return CandidateOutcome.RECORDED;
     }
 
@@ -251,18 +251,20 @@
      * @param isMarked whether the version's commit is over, so that no tags are needed
      */
     public void adopt(RoutingConfiguration decided, boolean isMarked) {
-        if (decided.epoch <= epoch()) {
+        if (decided.epoch() <= epoch()) {
             return;
         }
         cancelRevertTimer();
         installed[1 - realSlot] = decided;
         exchangeEntries();
-        long oldEpoch = shadowConfiguration() == null ? CommitTags.NO_EPOCH : shadowConfiguration().epoch;
-        tags = new CommitTags(oldEpoch, decided.epoch);
+        long oldEpoch = shadowConfiguration() == null
+                ? CommitTags.NO_EPOCH
+                : shadowConfiguration().epoch();
+        tags = new CommitTags(oldEpoch, decided.epoch());
         if (isMarked) {
-            markShadowBit(decided.epoch, decided.stamp);
+            markShadowBit(decided.epoch(), decided.stamp());
         }
-        log.log(Event.CONFIGURATION_ADOPTED, "epoch", decided.epoch, "trigger", "adopted");
+        log.log(Event.CONFIGURATION_ADOPTED, "epoch", decided.epoch(), "trigger", "adopted");
         changeListener.run();
     }
 
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -38,7 +38,10 @@
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
@@ -172,9 +175,8 @@
                 });
         gossip.registerOwnKey(GossipKeys.CONTROLLER_KEY_PREFIX + settings.node(), this::publishSelf);
         gossip.addListener(this::onGossipEntry);
-        this.hasFreshStore =
-                durableStore.load() == null && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
-        if (durableStore.load() == null) {
+        this.hasFreshStore = durableStore.isEmpty() && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
+        if (durableStore.isEmpty()) {
             List<String> founders =
                     settings.seedPeers().stream().map(settings::peerAddressOf).toList();
             boolean isFounder = hasFreshStore && founders.contains(settings.peerAddress());
@@ -656,7 +658,7 @@
     @Override
     public void apply(long index, String entry) {
         long previousVotersChangedIndex = replicatedState.votersChangedIndex();
-        replicatedState.apply(index, ReplicatedState.parse(entry));
+        replicatedState.apply(index, ReplicatedEntryCodec.decode(entry));
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
@@ -667,12 +669,12 @@
 
     @Override
     public String snapshot() {
-        return replicatedState.snapshot().toString();
+        return ReplicatedStateSnapshotCodec.encode(replicatedState.snapshot());
     }
 
     @Override
     public void restore(String snapshot) {
-        replicatedState.restore(ReplicatedState.parse(snapshot));
+        replicatedState.restore(ReplicatedStateSnapshotCodec.decode(snapshot));
         shardLeases.onVotersChanged();
         schedulePublish();
     }
@@ -762,10 +764,7 @@
             return;
         }
         raft.propose(
-                ReplicatedState.entry("evac")
-                        .put("zone", zone)
-                        .put("on", isEvacuated)
-                        .toString(),
+                ReplicatedEntryCodec.encode(new ReplicatedEntry.EvacuationChanged(zone, isEvacuated)),
                 outcome -> callback.accept(outcome == ProposalOutcome.COMMITTED));
     }
 
