--- a/src/main/java/bramblespool/cli/Bramblespool.java
+++ b/src/main/java/bramblespool/cli/Bramblespool.java
@@ -2,12 +2,25 @@
 
 import bramblespool.state.EventLog;
 import java.nio.file.Path;
+import java.util.Map;
 
-/** The program. The ordinary start of a role has nothing to parse, and a daemon that was killed is back the sooner. */
+/**
+ * The program's entry point. A plain start of a role ({@code bramblespool sidecar}, settings from the environment) skips
+ * the option parser and its classes, so that a process that was killed is back sooner.
+ */
 public final class Bramblespool {
+    /** Subcommands' names up to 0.4.0 and their present ones; accepted for one more version, not shown in the help. */
+    private static final Map<String, String> FORMER_SUBCOMMANDS =
+            Map.of("weft", "sidecar", "hem", "gateway", "helm", "controller", "rehearse", "self-test");
+
     private Bramblespool() {}
 
+    /**
+     * Runs a subcommand. Returns with the process still running where a role was started; otherwise ends the process with
+     * an exit code of {@link ProcessLauncher}.
+     */
     public static void main(String[] args) {
+        replaceFormerSubcommand(args);
         if (args.length == 1 && ProcessLauncher.MACHINE_CLASSES.containsKey(args[0])) {
             runRole(args[0]);
             return;
@@ -18,6 +31,13 @@
         }
     }
 
+    /** Replaces a subcommand's former name in place, before anything is parsed. */
+    static void replaceFormerSubcommand(String[] args) {
+        if (args.length > 0) {
+            args[0] = FORMER_SUBCOMMANDS.getOrDefault(args[0], args[0]);
+        }
+    }
+
     private static void runRole(String role) {
         int code = settingsFileFromEnvironment() == null
                 ? reportMissingSettings()
@@ -27,11 +47,13 @@
         }
     }
 
+    /** The settings file named by the environment, or null where it names none. */
     static Path settingsFileFromEnvironment() {
         String value = System.getenv(ProcessLauncher.SETTINGS_VARIABLE);
         return value == null || value.isEmpty() ? null : Path.of(value);
     }
 
+    /** Prints that no settings file was given and returns the exit code for it. */
     static int reportMissingSettings() {
         System.err.println(
                 "bramblespool: no settings: give --settings FILE or set " + ProcessLauncher.SETTINGS_VARIABLE);
--- a/src/main/java/bramblespool/cli/Commands.java
+++ b/src/main/java/bramblespool/cli/Commands.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line's subcommands and options. */
+/** The command line's subcommands and options. Used by the main thread only. */
 @Command(
         name = "bramblespool",
         mixinStandardHelpOptions = true,
@@ -28,16 +28,17 @@
             StatusCommand.class
         },
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:done, or ended in order", "1:failed", "2:wrong usage, or a file that is not fit for use"})
+        exitCodeList = {"0:done, or shut down gracefully", "1:failed", "2:wrong usage, or an invalid file"})
 final class Commands implements Runnable {
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** A role is running: the process is not to end. */
+    /** Not an exit code: a role was started and the process has to keep running. */
     static final int KEEP_RUNNING = -1;
 
     private static boolean hasStartedRole;
 
+    /** Parses and runs a command line; returns its exit code, or {@link #KEEP_RUNNING}. */
     static int execute(String[] args) {
         int code = new CommandLine(new Commands())
                 .setCaseInsensitiveEnumValuesAllowed(true)
@@ -47,9 +48,10 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a subcommand is wanted");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a subcommand is required");
     }
 
+    /** The version from the jar's manifest. */
     static final class VersionProvider implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -58,11 +60,12 @@
         }
     }
 
+    /** What the subcommands that start a role have in common: options and exit code. */
     abstract static class RoleCommand implements Callable<Integer> {
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
-                description = "the settings file; otherwise the one named by $" + ProcessLauncher.SETTINGS_VARIABLE)
+                description = "the settings file; by default the one named by $" + ProcessLauncher.SETTINGS_VARIABLE)
         private Path settingsFile;
 
         @Option(
@@ -72,6 +75,7 @@
                 description = "error, warn, info or debug (${DEFAULT-VALUE})")
         private EventLog.Level logLevel;
 
+        /** A key of {@link ProcessLauncher#MACHINE_CLASSES}. */
         abstract String role();
 
         @Override
@@ -87,38 +91,38 @@
     }
 
     @Command(
-            name = "weft",
+            name = "sidecar",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class,
-            description = "Runs the data plane's daemon, on a machine of class sidecar.")
+            description = "Runs the proxy beside a server, on a machine of class sidecar.")
     static final class SidecarCommand extends RoleCommand {
         @Override
         String role() {
-            return "weft";
+            return "sidecar";
         }
     }
 
     @Command(
-            name = "hem",
+            name = "gateway",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class,
-            description = "Runs the gateway's daemon, on a machine of class edge.")
+            description = "Runs the proxy for outside clients, on a machine of class edge.")
     static final class GatewayCommand extends RoleCommand {
         @Override
         String role() {
-            return "hem";
+            return "gateway";
         }
     }
 
     @Command(
-            name = "helm",
+            name = "controller",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class,
-            description = "Runs the control plane's daemon, on a machine of class core.")
+            description = "Runs a member of the control plane, on a machine of class core.")
     static final class ControllerCommand extends RoleCommand {
         @Override
         String role() {
-            return "helm";
+            return "controller";
         }
     }
 
@@ -136,12 +140,12 @@
             try {
                 if (file.toString().endsWith(".toml")) {
                     Settings settings = Settings.read(file);
-                    System.out.println(file + ": settings of " + settings.node() + ", fit for use");
+                    System.out.println(file + ": settings of " + settings.node() + ", valid");
                 } else {
                     RoutingConfiguration configuration = RoutingConfiguration.compile(Files.readString(file));
                     System.out.println(
                             file + ": configuration " + configuration.epoch + " with " + configuration.routeCount
-                                    + " routes and " + configuration.services.size() + " services, fit for use");
+                                    + " routes and " + configuration.services.size() + " services, valid");
                 }
                 return ProcessLauncher.EXIT_OK;
             } catch (Settings.InvalidSettingsException e) {
@@ -156,16 +160,16 @@
     }
 
     @Command(
-            name = "rehearse",
+            name = "self-test",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class,
             description =
-                    "Plays a small mesh in this one process, on the loopback address, and says whether it worked.")
+                    "Runs a small mesh in this one process, on loopback addresses, and reports whether it worked.")
     static final class SelfTestCommand implements Callable<Integer> {
         @Override
         public Integer call() {
             boolean hasPassed = SelfTest.run();
-            System.out.println(hasPassed ? "the rehearsal went well" : "the rehearsal failed");
+            System.out.println(hasPassed ? "the self-test passed" : "the self-test failed");
             System.exit(hasPassed ? ProcessLauncher.EXIT_OK : ProcessLauncher.EXIT_FAILED);
             return ProcessLauncher.EXIT_OK;
         }
--- a/src/main/java/bramblespool/cli/ProcessLauncher.java
+++ b/src/main/java/bramblespool/cli/ProcessLauncher.java
@@ -18,17 +18,23 @@
 import java.util.concurrent.TimeUnit;
 import sun.misc.Signal;
 
-/** Starting, settings that change, and ending of a role. */
+/**
+ * Runs one role in this process: starts it on the event loop, reloads its settings on SIGHUP or when the file changes, and
+ * shuts it down gracefully on SIGTERM. The main thread starts it; everything after that runs on the event loop, save the
+ * shutdown hook, which waits for the event loop.
+ */
 final class ProcessLauncher {
+    /** The environment variable that names the settings file. */
     static final String SETTINGS_VARIABLE = "BRAMBLESPOOL_BOOT";
-    /** The roles, each with the class of machines it runs on. */
-    static final Map<String, String> MACHINE_CLASSES = Map.of("weft", "sidecar", "hem", "edge", "helm", "core");
+    /** The subcommands that start a role, each with the {@code machineClass} it runs on. */
+    static final Map<String, String> MACHINE_CLASSES =
+            Map.of("sidecar", "sidecar", "gateway", "edge", "controller", "core");
 
     static final int EXIT_OK = 0;
     static final int EXIT_FAILED = 1;
     static final int EXIT_INVALID = 2;
     private static final long SETTINGS_POLL_INTERVAL_MS = 1000;
-    /** Part of {@code grace} within which a process ends by itself. */
+    /** Fraction of the setting {@code grace} within which a process ends by itself. */
     private static final double GRACE_FRACTION = 0.9;
 
     private final Path settingsFile;
@@ -45,7 +51,10 @@
         this.eventLoop = new EventLoop(log);
     }
 
-    /** Runs a role until the process is ended; returns only where it could not start. */
+    /**
+     * Starts a role, a key of {@link #MACHINE_CLASSES}, and returns {@link #EXIT_OK} with the event loop running. Returns
+     * {@link #EXIT_INVALID} for unusable settings and ends the process with {@link #EXIT_FAILED} where the start fails.
+     */
     static int run(String role, Path settingsFile, EventLog.Level level) {
         Settings settings;
         try {
@@ -94,7 +103,7 @@
         }
         log.log(Event.STARTED, "role", role, "zone", settings.zone());
         Runtime.getRuntime().addShutdownHook(new Thread(null, this::stop, "stop", 256 << 10));
-        Signal.handle(new Signal("HUP"), s -> eventLoop.post(this::reload));
+        Signal.handle(new Signal("HUP"), signal -> eventLoop.post(this::reload));
         lastModified = modificationTime();
         eventLoop.post(() -> eventLoop.scheduleRepeatedly(SETTINGS_POLL_INTERVAL_MS, () -> {
             FileTime modified = modificationTime();
@@ -106,8 +115,8 @@
 
     private ManagedProcess createProcess(String role) throws IOException, SQLException {
         return switch (role) {
-            case "weft" -> new SidecarProcess(settings, eventLoop, log);
-            case "hem" -> new GatewayProcess(settings, eventLoop, log);
+            case "sidecar" -> new SidecarProcess(settings, eventLoop, log);
+            case "gateway" -> new GatewayProcess(settings, eventLoop, log);
             default -> new ControllerProcess(settings, eventLoop, log);
         };
     }
--- a/src/main/java/bramblespool/cli/SelfTest.java
+++ b/src/main/java/bramblespool/cli/SelfTest.java
@@ -27,15 +27,16 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * A whole small mesh and a small gateway in one process on loopback addresses: one helm with one weft, one with one hem,
- * a stand-in server and a stand-in for the platform's list. It shows that an installation works, and the build runs it
- * to record the classes for the class-data archive.
+ * A small mesh and a small gateway deployment in one process on loopback addresses: a controller with a sidecar, a
+ * controller with a gateway, a stand-in server and a stand-in for the platform's registry. It shows that an installation
+ * works, and the build runs it to record the classes of the class-data archive. The calling thread drives it step by step;
+ * the processes under test share one event loop.
  */
 final class SelfTest {
     private static final String IP = "127.0.0.1";
-    /** All machines of a system use the same ports, so the two daemons need two addresses. */
+    /** All machines of a system use the same ports, so the sidecar and its controller need different addresses. */
     private static final String SIDECAR_IP = "127.0.0.2";
-    /** The gateway's helm and hem. */
+    /** The gateway's controller. */
     private static final String GATEWAY_CONTROLLER_IP = "127.0.0.3";
 
     private static final String GATEWAY_IP = "127.0.0.4";
@@ -44,9 +45,9 @@
     private static final String CONFIGURATION_TEMPLATE = """
             {"epoch":%d,"baseVersion":%d,
              "routeTable":{"columns":["name","authority","pathPrefix","routeClass","deadline","goal","rank","shares","maxTries","target","public"],
-              "rows":[["r","rehearsal.example","/a/","idempotent","5s","1s",1,null,2,"stage",true],
-                      ["k","rehearsal.example","/k/","keyed","5s","1s",1,null,2,"stage",false],
-                      ["s","rehearsal.example","/b/","mutating","5s","1s",1,[{"target":"stage","share":1}],2,null,true]]},
+              "rows":[["r","self-test.example","/a/","idempotent","5s","1s",1,null,2,"stage",true],
+                      ["k","self-test.example","/k/","keyed","5s","1s",1,null,2,"stage",false],
+                      ["s","self-test.example","/b/","mutating","5s","1s",1,[{"target":"stage","share":1}],2,null,true]]},
              "serviceTable":{"columns":["name","probePath","maxConns","protocol","tls","warmup","warmPerS"],
               "rows":[["stage","/health",10,"h1",false,"0ms",10.0]]},
              "principals":{"columns":["name","apiKeys","rank","ratePerS","burst"],"rows":[["t",["key"],0,1000,1000]]},
@@ -59,7 +60,7 @@
     private final int[] reservedPorts = new int[9];
 
     private SelfTest() throws IOException {
-        EventLog log = new EventLog("rehearsal", System.err, EventLog.Level.WARN);
+        EventLog log = new EventLog("self-test", System.err, EventLog.Level.WARN);
         eventLoop = new EventLoop(log);
         listeners = new Listeners(eventLoop, log);
         upstream = new UpstreamClient(eventLoop, listeners.bufferPool());
@@ -68,7 +69,7 @@
         } while (Arrays.stream(reservedPorts).anyMatch(p -> p == reservedPorts[1] + 1));
     }
 
-    /** Takes ports that are free now; the one after the second is the hem's, for calls from other hems. */
+    /** Takes ports that are free now; the one after the second is for requests from other gateways. */
     private void reservePorts() throws IOException {
         ServerSocket[] sockets = new ServerSocket[reservedPorts.length];
         for (int i = 0; i < reservedPorts.length; i++) {
@@ -119,12 +120,12 @@
                         nodeName, machineClass, ip, reservedPorts[1], reservedPorts[1] + 1, addressOf(2), extraToml);
     }
 
-    /** Answers whether all steps went well. */
+    /** Runs all steps; returns whether they succeeded, and prints the first failure to standard error. */
     static boolean run() {
         try {
             return new SelfTest().runScenario();
         } catch (Exception e) {
-            System.err.println("bramblespool: the rehearsal failed: " + e);
+            System.err.println("bramblespool: the self-test failed: " + e);
             return false;
         }
     }
@@ -142,7 +143,7 @@
                     if (attemptId != null) {
                         exchange.getResponseHeaders().put(HeaderNames.ATTEMPT_ID, attemptId);
                     }
-                    exchange.getResponseSender().send("played");
+                    exchange.getResponseSender().send("ok");
                 },
                 Listeners.listenerOptions(1 << 16, 1 << 20, 10_000, 10_000));
         String platformToml =
@@ -150,31 +151,31 @@
         Settings controllerSettings = Settings.parse(
                 settingsToml(
                         "core",
-                        "helm-1",
+                        "controller-1",
                         IP,
                         "dataDir = \"" + dataDirectory + "\"\n" + platformToml + "[listeners]\ncontrol = \""
                                 + addressOf(2) + "\""),
-                "rehearsal");
+                "self-test");
         Settings sidecarSettings = Settings.parse(
                 settingsToml(
                         "sidecar",
-                        "weft-1",
+                        "sidecar-1",
                         SIDECAR_IP,
                         "target = \"stage\"\nappAddr = \"" + addressOf(0)
                                 + "\"\n" + platformToml + "[listeners]\ncontrol = \"" + addressOf(4)
                                 + "\"\ninbound = \"" + addressOf(5)
                                 + "\"\noutbound = \"" + addressOf(6)
                                 + "\"\nready = \"" + addressOf(7) + "\""),
-                "rehearsal");
-        runScenario(dataDirectory, controllerSettings, sidecarSettings);
+                "self-test");
+        runSidecarScenario(dataDirectory, controllerSettings, sidecarSettings);
         Path gatewayDirectory = Files.createTempDirectory("bramblespool");
         runGatewayScenario(gatewayDirectory);
         return true;
     }
 
-    private void runScenario(Path dataDirectory, Settings controllerSettings, Settings sidecarSettings)
+    private void runSidecarScenario(Path dataDirectory, Settings controllerSettings, Settings sidecarSettings)
             throws Exception {
-        EventLog log = new EventLog("rehearsal", System.err, EventLog.Level.WARN);
+        EventLog log = new EventLog("self-test", System.err, EventLog.Level.WARN);
         ManagedProcess controller = new ControllerProcess(controllerSettings, eventLoop, log);
         ManagedProcess sidecar = new SidecarProcess(sidecarSettings, eventLoop, log);
         expectStatus(
@@ -195,7 +196,7 @@
         expectStatus("a request with a body", () -> post(addressOf(6), "/b/1", "body"), 200);
         expectStatus("a request with a key", () -> post(addressOf(6), "/k/1", "body"), 200);
         expectStatus("its repeat", () -> post(addressOf(6), "/k/1", "body"), 200);
-        expectStatus("a request to the gate", () -> get(addressOf(5), "/a/2"), 200);
+        expectStatus("a request to the inbound listener", () -> get(addressOf(5), "/a/2"), 200);
         expectStatus("an unknown route", () -> get(addressOf(6), "/none/"), 404);
         expectStatus(
                 "a second configuration",
@@ -220,22 +221,22 @@
         Settings controllerSettings = Settings.parse(
                 settingsToml(
                                 "core",
-                                "helm-2",
+                                "controller-2",
                                 GATEWAY_CONTROLLER_IP,
                                 "dataDir = \"" + dataDirectory + "\"\n" + platformToml + "[listeners]\ncontrol = \""
                                         + GATEWAY_CONTROLLER_IP + ":" + reservedPorts[2] + "\"")
                         .replace(addressOf(2), GATEWAY_CONTROLLER_IP + ":" + reservedPorts[2]),
-                "rehearsal");
+                "self-test");
         Settings gatewaySettings = Settings.parse(
                 settingsToml(
                                 "edge",
-                                "hem-1",
+                                "gateway-1",
                                 GATEWAY_IP,
                                 platformToml + "[listeners]\nfront = \"" + GATEWAY_IP + ":" + reservedPorts[6]
                                         + "\"\nready = \"" + GATEWAY_IP + ":" + reservedPorts[7] + "\"")
                         .replace(addressOf(2), GATEWAY_CONTROLLER_IP + ":" + reservedPorts[2]),
-                "rehearsal");
-        EventLog log = new EventLog("rehearsal", System.err, EventLog.Level.WARN);
+                "self-test");
+        EventLog log = new EventLog("self-test", System.err, EventLog.Level.WARN);
         ManagedProcess controller = new ControllerProcess(controllerSettings, eventLoop, log);
         ManagedProcess gateway = new GatewayProcess(gatewaySettings, eventLoop, log);
         expectStatus(
@@ -246,7 +247,9 @@
                         CONFIGURATION_TEMPLATE.formatted(1, 0)),
                 200);
         expectStatus(
-                "the hem's readiness", () -> get(gatewaySettings.readinessAddress(), "/bramblespool/readiness"), 200);
+                "the gateway's readiness",
+                () -> get(gatewaySettings.readinessAddress(), "/bramblespool/readiness"),
+                200);
         expectStatus("a request from outside", () -> get(gatewaySettings.outboundAddress(), "/a/1"), 200);
         expectStatus(
                 "a request from outside with a body",
@@ -274,7 +277,7 @@
         CompletableFuture<Integer> send();
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // what fails leaves f open: the step ends at its time limit
+    @SuppressWarnings("FutureReturnValueIgnored") // a failure leaves the future open: the step ends at its time-out
     private void expectStatus(String description, RequestSender sender, int expectedStatus)
             throws InterruptedException, ExecutionException, TimeoutException {
         int status = 0;
@@ -302,7 +305,7 @@
     private CompletableFuture<Integer> send(String address, String method, String path, byte[] body) {
         CompletableFuture<Integer> status = new CompletableFuture<>();
         HeaderMap headers = new HeaderMap();
-        headers.put(Headers.HOST, "rehearsal.example")
+        headers.put(Headers.HOST, "self-test.example")
                 .put(HeaderNames.ATTEMPT_ID, "a1")
                 .put(HeaderNames.DEADLINE, 3000)
                 .put(HeaderNames.VERSION_MARK, "0")
--- a/src/main/java/bramblespool/cli/StatusCommand.java
+++ b/src/main/java/bramblespool/cli/StatusCommand.java
@@ -19,23 +19,33 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Asks daemons how they stand. */
+/**
+ * Asks processes for their status and prints it. The answers' JSON names are those of the peer message {@code status},
+ * which 0.4.0 understands too; the printed text uses the terms of docs/glossary.md. Runs on the main thread, the calls on
+ * an event loop of its own.
+ */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.VersionProvider.class,
-        description = "Asks daemons at their peer addresses (first port of portRange) how they stand.")
+        description = "Asks processes at their peer addresses (first port of portRange) for their status.")
 public final class StatusCommand implements Callable<Integer> {
-    /** A follower that has not answered for longer than this is said to be silent. */
+    /** Roles in a status answer, which keep the names of 0.4.0. */
+    private static final String SIDECAR_ROLE = "weft";
+
+    private static final String GATEWAY_ROLE = "hem";
+    private static final String CONTROLLER_ROLE = "helm";
+
+    /** A follower that has not answered for longer than this is reported as silent. */
     private static final long SILENCE_THRESHOLD_MS = 1000;
 
     @Parameters(arity = "1..*", paramLabel = "ADDRESS", description = "for example 10.1.0.42:7380")
     private List<String> addresses;
 
-    @Option(names = "--json", description = "print the answers as they came")
+    @Option(names = "--json", description = "print the answers as received")
     private boolean printsJson;
 
-    @Option(names = "--all", description = "list every weft and hem, not only those that deviate")
+    @Option(names = "--all", description = "list every sidecar and gateway, not only those with an anomaly")
     private boolean listsAll;
 
     @Option(
@@ -84,21 +94,24 @@
         return exitCode;
     }
 
-    /** One daemon's answer for people; of the fleet a helm knows, sums first and then what deviates, or with {@code all} everything. */
+    /**
+     * One process's answer as text. Of the proxies that a controller knows, it gives totals and then those with an anomaly,
+     * or with {@code listsAll} every one.
+     */
     public static String format(String address, JsonNode status, boolean listsAll) {
         StringBuilder report = new StringBuilder(address)
                 .append(": ")
-                .append(status.path("role").asText())
+                .append(roleName(status.path("role").asText()))
                 .append(' ')
                 .append(status.path("node").asText())
                 .append(" in ")
                 .append(status.path("zone").asText());
         appendLine(report, "version in force", status.path("epoch"));
-        if (!status.path("role").asText().equals("helm")) {
+        if (!status.path("role").asText().equals(CONTROLLER_ROLE)) {
             appendLine(
                     report,
-                    "marks calls with",
-                    status.path("tagging").asBoolean() ? "tags (a commit is under way)" : "the bit");
+                    "marks requests with",
+                    status.path("tagging").asBoolean() ? "version tags (a commit is in progress)" : "the commit bit");
             appendLine(
                     report,
                     "session",
@@ -113,25 +126,25 @@
                             : status.path("servers") + ", "
                                     + (status.path("open").asBoolean() ? "open" : "closed") + ", "
                                     + status.path("load").asInt() + " of "
-                                    + status.path("capacity").asInt() + " slots taken or waited for");
+                                    + status.path("capacity").asInt() + " slots in use or queued for");
             appendLine(
                     report,
-                    "operations",
-                    status.path("operations").asLong() + " claimed of late, "
-                            + status.path("answerBytes").asLong() / 1024 + " kB of answers kept for repeats");
+                    "idempotency keys",
+                    status.path("operations").asLong() + " claimed recently, "
+                            + status.path("answerBytes").asLong() / 1024 + " kB of responses stored for repeats");
             appendLine(report, "ready", status.path("ready"));
             return report.toString();
         }
         appendLine(report, "member", status.path("self"));
         appendLine(report, "leader", status.path("leader").isTextual() ? status.path("leader") : "none known");
         appendLine(report, "term", status.path("term"));
-        appendLine(report, "phase of the commit", status.path("phase"));
+        appendLine(report, "commit phase", status.path("phase"));
         appendLine(
                 report,
-                "keeps up",
+                "overloaded",
                 status.path("strained").asBoolean()
-                        ? "no, timers come " + status.path("late").asLong() + " ms late"
-                        : "yes");
+                        ? "yes, timers run " + status.path("late").asLong() + " ms late"
+                        : "no");
         appendLine(report, "voters", status.path("voters"));
         if (status.path("leads").asBoolean()) {
             appendLine(report, "unconfirmed", status.path("unconfirmed"));
@@ -146,31 +159,31 @@
         });
         status.path("duties")
                 .fields()
-                .forEachRemaining(role -> appendLine(report, "duty " + role.getKey(), role.getValue()));
+                .forEachRemaining(role -> appendLine(report, "singleton role " + role.getKey(), role.getValue()));
         appendLine(
                 report,
                 "registers",
-                status.path("registers").asLong() + " held, "
-                        + status.path("rounds").asLong() + " rounds begun, "
-                        + status.path("unsure").asLong() + " without a certain end"
-                        + (status.path("settled").asBoolean() ? "" : "; takes part in none yet"));
+                status.path("registers").asLong() + " stored, "
+                        + status.path("rounds").asLong() + " proposal rounds started, "
+                        + status.path("unsure").asLong() + " with an unknown outcome"
+                        + (status.path("settled").asBoolean() ? "" : "; takes part in no round yet"));
         appendLine(
                 report,
-                "slices of tenants",
+                "tenant shards",
                 status.path("slices").asLong() + " of "
                         + status.path("slicesInAll").asLong() + " owned here");
         status.path("overLimit")
                 .fields()
                 .forEachRemaining(tenant -> appendLine(
                         report,
-                        "over its limit",
+                        "over its rate limit",
                         tenant.getKey() + ", " + tenant.getValue().asLong() + " times"));
         JsonNode usage = status.path("usage");
         if (usage.isObject()) {
             appendLine(
                     report,
                     "usage reports",
-                    "by " + usage.path("holder").asText("nobody") + " under fence "
+                    "by " + usage.path("holder").asText("nobody") + " with fencing token "
                             + usage.path("fence").asLong() + ", oldest window not reported "
                             + usage.path("oldest").asLong() + ", now in "
                             + usage.path("current").asLong());
@@ -179,13 +192,22 @@
         return report.toString();
     }
 
-    /** How far another helm is behind the leader, and why. */
+    private static String roleName(String role) {
+        return switch (role) {
+            case SIDECAR_ROLE -> "sidecar";
+            case GATEWAY_ROLE -> "gateway";
+            case CONTROLLER_ROLE -> "controller";
+            default -> role;
+        };
+    }
+
+    /** How far another controller is behind the leader, and why. */
     private static String describeProgress(JsonNode follower) {
         StringBuilder description = new StringBuilder();
         long entriesBehind = follower.path("behind").asLong();
         description.append(
                 entriesBehind == 0
-                        ? "has all"
+                        ? "up to date"
                         : entriesBehind + " entries behind, at "
                                 + follower.path("match").asLong());
         if (follower.path("size").asLong() > 0) {
@@ -194,13 +216,13 @@
                     .append(follower.path("sent").asLong() / 1024)
                     .append(" of ")
                     .append(follower.path("size").asLong() / 1024)
-                    .append(" kB under way");
+                    .append(" kB sent");
         }
         if (follower.path("snapshots").asLong() > 1) {
             description
                     .append("; ")
                     .append(follower.path("snapshots").asLong())
-                    .append(" snapshots since it last had all: its link or disk is too slow" + " for the changes");
+                    .append(" snapshots since it was last up to date: its link or disk is too slow for the changes");
         }
         if (follower.path("silentMs").asLong() > SILENCE_THRESHOLD_MS) {
             description
@@ -209,7 +231,7 @@
                     .append(" ms");
         }
         if (follower.path("differs").asBoolean()) {
-            description.append("; its state differs, it takes a snapshot anew");
+            description.append("; its state differs, it installs a new snapshot");
         }
         return description.toString();
     }
@@ -231,7 +253,7 @@
                                 hasSession && endpoint.path("open").asBoolean()));
             }
             String anomaly = hasLeft ? "has left" : hasSession ? anomalyOf(proxy.path("doors")) : "no session";
-            // One that has left is no trouble; it is remembered so that old news cannot bring it back.
+            // A proxy that has left is no anomaly; its entry is kept so that an outdated update cannot bring it back.
             if (listsAll || !hasLeft && !anomaly.isEmpty()) {
                 appendLine(
                         listed,
@@ -240,9 +262,9 @@
             }
         });
         zones.forEach((zone, counts) ->
-                appendLine(report, "zone " + zone, counts[1] + " of " + counts[0] + " sides have a session"));
+                appendLine(report, "zone " + zone, counts[1] + " of " + counts[0] + " proxies have a session"));
         services.forEach((service, counts) ->
-                appendLine(report, "service " + service, counts[1] + " of " + counts[0] + " doors open"));
+                appendLine(report, "service " + service, counts[1] + " of " + counts[0] + " endpoints open"));
         report.append(listed);
     }
 
@@ -252,14 +274,14 @@
         counts[1] += isHealthy ? 1 : 0;
     }
 
-    /** What is unusual about a member's doors, or nothing. */
+    /** The first anomaly of a proxy's endpoints, or an empty string. */
     private static String anomalyOf(JsonNode endpoints) {
         for (JsonNode endpoint : endpoints) {
             if (!endpoint.path("open").asBoolean()) {
                 return endpoint.path("servers").asText().isEmpty() ? "no server known" : "closed";
             }
             if (endpoint.path("ill").asDouble() > 0) {
-                return "server fails a part of its requests";
+                return "server fails some of its requests";
             }
         }
         return "";
--- a/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
+++ b/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
@@ -350,7 +350,7 @@
         applyChanges(120, ROUTES);
         String away = StatusCommand.format(leaderPeer, status(mesh.leader()), false);
         assertTrue(away.contains("silent for "), away);
-        assertTrue(away.contains("follower " + thirdPeer + "#0: has all"), away);
+        assertTrue(away.contains("follower " + thirdPeer + "#0: up to date"), away);
         machine(laggingPeer).linkBytesPerMs = 0.5 * BYTES_PER_MS_OF_A_MEGABIT;
         mesh.startController(laggingPeer, false);
         int lastSent = 0;
@@ -372,7 +372,7 @@
         }
         assertTrue(lastSent > 10_000, lastSent + " of the snapshot after a second");
         String text = StatusCommand.format(leaderPeer, status(mesh.leader()), false);
-        assertTrue(text.matches("(?s).*entries behind, at \\d+; \\d+ of \\d+ kB under way.*"), text);
+        assertTrue(text.matches("(?s).*entries behind, at \\d+; \\d+ of \\d+ kB sent.*"), text);
     }
 
     /** The leader dies when most of the snapshot is over; the next one sends the rest, for all fold at the same indices. */
