--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -15,6 +15,9 @@
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
 import bramblespool.coordination.register.RegisterResult;
+import bramblespool.coordination.register.RegisterService;
+import bramblespool.coordination.register.RegisterTimings;
+import bramblespool.coordination.register.RegisterVoters;
 import bramblespool.coordination.singleton.ControllerPeers;
 import bramblespool.coordination.singleton.FencingTokenCodec;
 import bramblespool.coordination.singleton.FencingTokenRenewal;
@@ -95,6 +98,7 @@
     private final GossipStore gossip;
     private final RaftNode raft;
     private final ShadowCommitCoordinator commitCoordinator;
+    private final RegisterService registers;
     private final RegisterProposer registerProposer;
     private final TenantRateLimiter rateLimiter;
     private final ShardLeases shardLeases;
@@ -177,17 +181,14 @@
         DurableStore.PersistentState savedState = durableStore.load();
         String memberId = settings.peerAddress() + "#" + savedState.incarnation();
         long registerRetentionMs = IdempotencyTable.retentionMs(bounds.idempotencyKeyWindowMs());
-        this.registerProposer = new RegisterProposer(
-                replicatedState,
-                memberId,
-                settings.tolerableMachineLosses() + 1,
+        this.registers = new RegisterService(
+                new RegisterVoters(replicatedState, memberId, settings.tolerableMachineLosses() + 1),
                 durableStore,
                 clock,
                 transport,
-                bounds.applyMs() / REGISTER_BATCH_DIVISOR,
-                callTimeoutMs / 2,
-                registerRetentionMs,
+                new RegisterTimings(bounds.applyMs() / REGISTER_BATCH_DIVISOR, callTimeoutMs / 2, registerRetentionMs),
                 log);
+        this.registerProposer = registers.proposer();
         this.shardLeases = new ShardLeases(
                 replicatedState,
                 registerProposer,
@@ -257,7 +258,7 @@
         publishSelf();
         raft.start();
         overloadDetector.start();
-        registerProposer.start();
+        registers.start();
         shardLeases.start();
         if (usageReporter != null) {
             usageReporter.start();
@@ -265,7 +266,7 @@
         clock.execute(this::join);
         clock.scheduleRepeatedly(renewalMs, () -> {
             closeExpiredSessions();
-            registerProposer.sync();
+            registers.sync();
             if (isAnnouncedAsVoter != replicatedState.voterSinceIndexes().containsKey(raft.localId())) {
                 publishSelf();
             }
@@ -506,6 +507,11 @@
         return registerProposer;
     }
 
+    /** This controller's part in the registers. */
+    public RegisterService registers() {
+        return registers;
+    }
+
     private void publishSelf() {
         isAnnouncedAsVoter = replicatedState.voterSinceIndexes().containsKey(raft == null ? "" : raft.localId());
         gossip.publish(JsonNodeFactory.instance
@@ -650,7 +656,7 @@
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
-            clock.execute(registerProposer::sync);
+            clock.execute(registers::sync);
             shardLeases.onVotersChanged();
         }
     }
@@ -669,7 +675,7 @@
 
     @Override
     public boolean isSynced() {
-        return registerProposer.isSynced();
+        return registers.isSynced();
     }
 
     @Override
@@ -770,7 +776,7 @@
     @Override
     public void handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
         if (raft.handleRequest(kind, request, callback)
-                || registerProposer.handleRequest(kind, request, callback)
+                || registers.handleRequest(kind, request, callback)
                 || shardLeases.handleRequest(kind, request, callback)
                 || usageReporter != null && usageReporter.handleRequest(kind, request, callback)) {
             return;
@@ -849,10 +855,10 @@
         ObjectNode roleOwners = status.putObject("duties");
         replicatedState.singletonRoles().forEach((key, role) -> roleOwners.put(key, role.owner()));
         status.put("slices", shardLeases.ownedCount()).put("slicesInAll", AdmissionClient.SHARD_COUNT);
-        status.put("registers", registerProposer.registerCount())
+        status.put("registers", registers.registerCount())
                 .put("rounds", registerProposer.proposalRounds())
                 .put("unsure", registerProposer.unknownOutcomes())
-                .put("settled", registerProposer.isSynced());
+                .put("settled", registers.isSynced());
         if (usageReporter != null) {
             status.set("usage", usageReporter.status());
         }
