--- /dev/null
+++ b/src/main/java/bramblespool/coordination/controller/OperatorRequestHandler.java
@@ -0,0 +1,67 @@
+package bramblespool.coordination.controller;
+
+import bramblespool.coordination.configuration.ShadowCommitCoordinator;
+import bramblespool.protocol.OperatorRequest;
+import bramblespool.raft.RaftNode;
+import bramblespool.state.ReplicatedState;
+import java.util.function.Consumer;
+
+/**
+ * The operator's requests at the leader. What they are answered with holds for the whole group: a change is answered
+ * once it is committed, and what is read is answered once a majority has confirmed the leader (Raft dissertation,
+ * section 6.4). Confined to the event loop.
+ */
+public final class OperatorRequestHandler {
+    private final RaftNode raft;
+    private final ReplicatedState replicatedState;
+    private final ShadowCommitCoordinator commitCoordinator;
+    private final ThreadConfinement confinement = new ThreadConfinement();
+
+    OperatorRequestHandler(RaftNode raft, ReplicatedState replicatedState, ShadowCommitCoordinator commitCoordinator) {
+        this.raft = raft;
+        this.replicatedState = replicatedState;
+        this.commitCoordinator = commitCoordinator;
+    }
+
+    /** Replaces or amends the configuration. */
+    public void submitChange(OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> callback) {
+        assert confinement.isOwnThread() : "not on the event loop";
+        if (!raft.isLeader()) {
+            callback.accept(OperatorRequest.Result.unknown("not the leader"));
+            return;
+        }
+        commitCoordinator.submit(change, callback);
+    }
+
+    /** Evacuates a zone, or ends that. Where the zone is in that state already, nothing is written. */
+    public void evacuate(String zone, boolean isEvacuated, Consumer<EvacuationOutcome> callback) {
+        assert confinement.isOwnThread() : "not on the event loop";
+        Consumer<Boolean> onConfirmed = isConfirmed ->
+                callback.accept(isConfirmed ? EvacuationOutcome.COMMITTED : EvacuationOutcome.LEADERSHIP_LOST);
+        // What is proposed and not applied yet may be the opposite.
+        if (raft.isLeader() && !raft.hasUnappliedEntries() && isEvacuated(zone) == isEvacuated) {
+            raft.confirmLeadership(onConfirmed);
+            return;
+        }
+        raft.propose(ReplicatedState.entry("evac").put("zone", zone).put("on", isEvacuated), onConfirmed);
+    }
+
+    private boolean isEvacuated(String zone) {
+        ReplicatedState.Evacuation evacuation = replicatedState.evacuations().get(zone);
+        return evacuation != null && evacuation.isEvacuated();
+    }
+
+    /** Reads the newest version. */
+    public void readConfiguration(Consumer<ConfigurationReadResult> callback) {
+        assert confinement.isOwnThread() : "not on the event loop";
+        raft.confirmLeadership(isConfirmed ->
+                callback.accept(isConfirmed ? currentVersion() : new ConfigurationReadResult.Unconfirmed()));
+    }
+
+    private ConfigurationReadResult currentVersion() {
+        ReplicatedState.Version version = replicatedState.current();
+        return version.compressedDocument() == null
+                ? new ConfigurationReadResult.None()
+                : new ConfigurationReadResult.Current(version);
+    }
+}
--- /dev/null
+++ b/src/main/java/bramblespool/coordination/controller/ReplicatedStateMachine.java
@@ -0,0 +1,88 @@
+package bramblespool.coordination.controller;
+
+import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.tenancy.ShardLeases;
+import bramblespool.raft.StateMachine;
+import bramblespool.state.ReplicatedState;
+import bramblespool.transport.Clock;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.function.Consumer;
+
+/**
+ * Applies the replicated log to the replicated state, and lets the parts of the controller that follow it know of
+ * changes. Confined to the event loop.
+ */
+final class ReplicatedStateMachine implements StateMachine {
+    private final ReplicatedState replicatedState;
+    private final RegisterProposer registerProposer;
+    private final ShardLeases shardLeases;
+    private final Clock clock;
+    private final Runnable onChanged;
+    private final Consumer<Boolean> onLeadershipChanged;
+    private boolean isNotificationScheduled;
+
+    /**
+     * @param onChanged runs after the state has changed, once for all the entries applied in one turn of the event loop
+     * @param onLeadershipChanged takes whether this controller leads
+     */
+    ReplicatedStateMachine(
+            ReplicatedState replicatedState,
+            RegisterProposer registerProposer,
+            ShardLeases shardLeases,
+            Clock clock,
+            Runnable onChanged,
+            Consumer<Boolean> onLeadershipChanged) {
+        this.replicatedState = replicatedState;
+        this.registerProposer = registerProposer;
+        this.shardLeases = shardLeases;
+        this.clock = clock;
+        this.onChanged = onChanged;
+        this.onLeadershipChanged = onLeadershipChanged;
+    }
+
+    @Override
+    public void apply(long index, JsonNode entry) {
+        long previousVotersChangedIndex = replicatedState.votersChangedIndex();
+        replicatedState.apply(index, entry);
+        scheduleNotification();
+        if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
+            // The group changes no further until whoever is new has read the registers that the others hold.
+            clock.execute(registerProposer::sync);
+            shardLeases.onVotersChanged();
+        }
+    }
+
+    @Override
+    public ObjectNode snapshot() {
+        return replicatedState.snapshot();
+    }
+
+    @Override
+    public void restore(JsonNode snapshot) {
+        replicatedState.restore(snapshot);
+        shardLeases.onVotersChanged();
+        scheduleNotification();
+    }
+
+    @Override
+    public boolean isSynced() {
+        return registerProposer.isSynced();
+    }
+
+    @Override
+    public void onLeadershipChanged(boolean isLeader) {
+        onLeadershipChanged.accept(isLeader);
+    }
+
+    private void scheduleNotification() {
+        if (isNotificationScheduled) {
+            return;
+        }
+        isNotificationScheduled = true;
+        clock.execute(() -> {
+            isNotificationScheduled = false;
+            onChanged.run();
+        });
+    }
+}
--- a/src/main/java/bramblespool/process/ControllerProcess.java
+++ b/src/main/java/bramblespool/process/ControllerProcess.java
@@ -1,6 +1,8 @@
 package bramblespool.process;
 
+import bramblespool.coordination.controller.ConfigurationReadResult;
 import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.controller.EvacuationOutcome;
 import bramblespool.protocol.Heartbeat;
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.proxy.Replies;
@@ -127,13 +129,13 @@
             exchange.setPersistent(false);
             Replies.sendJson(exchange, 413, errorJson("too large"));
         } else if (path.equals(CONFIGURATION_PATH + "read")) {
-            controllerNode.readConfiguration(version -> {
-                if (version == null) {
-                    sendUnavailable(exchange, "no quorum");
-                } else if (version.compressedDocument() == null) {
+            controllerNode.readConfiguration(result -> {
+                if (result instanceof ConfigurationReadResult.Current current) {
+                    sendConfiguration(exchange, current.version());
+                } else if (result instanceof ConfigurationReadResult.None) {
                     Replies.sendJson(exchange, 404, errorJson("there is no configuration yet"));
                 } else {
-                    sendConfiguration(exchange, version);
+                    sendUnavailable(exchange, "no quorum");
                 }
             });
         } else if (path.startsWith(EVACUATION_PATH)) {
@@ -143,8 +145,8 @@
                 Replies.sendJson(exchange, 404, errorJson("no such zone: " + zone));
                 return;
             }
-            controllerNode.evacuate(zone, zoneAndAction.endsWith("/begin"), hasSucceeded -> {
-                if (hasSucceeded) {
+            controllerNode.evacuate(zone, zoneAndAction.endsWith("/begin"), outcome -> {
+                if (outcome == EvacuationOutcome.COMMITTED) {
                     Replies.sendJson(exchange, 200, "{}");
                 } else {
                     sendUnavailable(exchange, "the lead was lost");
--- a/src/test/java/bramblespool/cluster/ClusterRecoveryTest.java
+++ b/src/test/java/bramblespool/cluster/ClusterRecoveryTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.controller.EvacuationOutcome;
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.protocol.OperatorRequest;
@@ -245,7 +246,7 @@
         mesh.simulator.run(2000);
         assertVersions(mesh, 7);
         boolean[] isAcknowledged = new boolean[1];
-        mesh.leader().evacuate("b", true, r -> isAcknowledged[0] = r);
+        mesh.leader().evacuate("b", true, r -> isAcknowledged[0] = r == EvacuationOutcome.COMMITTED);
         mesh.simulator.run(3500);
         assertTrue(isAcknowledged[0]);
         mesh.sidecars.forEach(
@@ -289,7 +290,7 @@
         mesh.simulator.run(4000);
         submit(mesh, 5, 0, "one");
         boolean[] isAcknowledged = new boolean[1];
-        mesh.leader().evacuate("b", true, r -> isAcknowledged[0] = r);
+        mesh.leader().evacuate("b", true, r -> isAcknowledged[0] = r == EvacuationOutcome.COMMITTED);
         mesh.simulator.run(300);
         assertTrue(isAcknowledged[0]);
         mesh.sidecars.forEach((p, w) -> assertTrue(w.endpointDirectory.isEvacuated("b"), p));
--- a/src/test/java/bramblespool/cluster/QuorumTest.java
+++ b/src/test/java/bramblespool/cluster/QuorumTest.java
@@ -5,7 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import bramblespool.coordination.controller.ConfigurationReadResult;
 import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.controller.EvacuationOutcome;
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.ReplicatedState;
@@ -77,8 +79,10 @@
             cutOff.submitChange(SimulatedMesh.change(7, 6, "v7"), o -> statuses.add(o.status()));
             cutOff.submitChange(SimulatedMesh.change(8, 5, "v8"), o -> statuses.add(o.status()));
             cutOff.submitChange(SimulatedMesh.change(5, 0, "v5"), o -> statuses.add(o.status()));
-            cutOff.readConfiguration(v -> statuses.add(v == null ? 503 : 200));
-            cutOff.evacuate("a", false, ok -> statuses.add(ok ? 200 : 503));
+            cutOff.readConfiguration(
+                    read -> statuses.add(read instanceof ConfigurationReadResult.Unconfirmed ? 503 : 200));
+            cutOff.evacuate(
+                    "a", false, evacuation -> statuses.add(evacuation == EvacuationOutcome.COMMITTED ? 200 : 503));
             mesh.simulator.run(4000);
             assertEquals(List.of(503, 503, 503, 503, 503), statuses, "seed " + seed);
             mesh.simulator.setIsolated(oldLeader, false);
@@ -265,7 +269,9 @@
         SimulatedMesh mesh = newMesh(seed, 3, 1);
         List<Boolean> acknowledgements = new ArrayList<>();
         for (boolean isEvacuated : new boolean[] {true, false, true, false, true}) {
-            mesh.leader().evacuate("a", isEvacuated, acknowledgements::add);
+            mesh.leader()
+                    .evacuate(
+                            "a", isEvacuated, outcome -> acknowledgements.add(outcome == EvacuationOutcome.COMMITTED));
             if (acknowledgements.isEmpty()) {
                 mesh.simulator.run(100);
             }
--- a/src/test/java/bramblespool/cluster/StaleTermTest.java
+++ b/src/test/java/bramblespool/cluster/StaleTermTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.controller.EvacuationOutcome;
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
@@ -221,7 +222,7 @@
         mesh.simulator.run(QUIET_MS / 2 + random.nextInt(QUIET_MS));
         assertEquals(200, submit(mesh, 6, 5, "two").status());
         boolean[] isAcknowledged = new boolean[1];
-        mesh.leader().evacuate("b", true, a -> isAcknowledged[0] = a);
+        mesh.leader().evacuate("b", true, a -> isAcknowledged[0] = a == EvacuationOutcome.COMMITTED);
         mesh.simulator.run(QUIET_MS * 6);
         assertTrue(isAcknowledged[0]);
         // Helms in touch are slower to tell their news than the one that is not.
@@ -533,7 +534,7 @@
         SimulatedMesh mesh = newMesh(seed, 4, 8);
         Random random = mesh.simulator.random;
         boolean[] isAcknowledged = new boolean[2];
-        mesh.leader().evacuate("b", true, a -> isAcknowledged[0] = a);
+        mesh.leader().evacuate("b", true, a -> isAcknowledged[0] = a == EvacuationOutcome.COMMITTED);
         mesh.simulator.run(1000);
         String partitionedPeer =
                 random.nextBoolean() ? leaderPeer(mesh) : SimulatedMesh.controllerPeer(random.nextInt(4));
@@ -548,7 +549,7 @@
         });
         mesh.simulator.run(QUIET_MS);
         assertEquals(200, submit(mesh, 6, 5, "two").status());
-        mesh.leader().evacuate("b", false, a -> isAcknowledged[1] = a);
+        mesh.leader().evacuate("b", false, a -> isAcknowledged[1] = a == EvacuationOutcome.COMMITTED);
         mesh.simulator.run(QUIET_MS);
         assertTrue(isAcknowledged[0] && isAcknowledged[1]);
         List<String> violations = new ArrayList<>();
--- a/src/test/java/bramblespool/model/OperatorEndpoint.java
+++ b/src/test/java/bramblespool/model/OperatorEndpoint.java
@@ -1,6 +1,8 @@
 package bramblespool.model;
 
+import bramblespool.coordination.controller.ConfigurationReadResult;
 import bramblespool.coordination.controller.ControllerNode;
+import bramblespool.coordination.controller.EvacuationOutcome;
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.transport.PeerTransport;
@@ -35,20 +37,25 @@
         }
         switch (m.path("do").asText()) {
             case "read" ->
-                controller.readConfiguration(v -> {
-                    if (v != null) {
-                        runner.history.recordRead(v.epoch(), m.path("began").asLong(), runner.logicalTime());
+                controller.readConfiguration(result -> {
+                    if (result instanceof ConfigurationReadResult.Unconfirmed) {
+                        answer.accept(status(503));
+                        return;
                     }
-                    answer.accept(
-                            v == null
-                                    ? status(503)
-                                    : status(v.compressedDocument() == null ? 404 : 200)
-                                            .put("current", v.epoch()));
+                    boolean isNone = result instanceof ConfigurationReadResult.None;
+                    long epoch = isNone
+                            ? 0
+                            : ((ConfigurationReadResult.Current) result)
+                                    .version()
+                                    .epoch();
+                    runner.history.recordRead(epoch, m.path("began").asLong(), runner.logicalTime());
+                    answer.accept(status(isNone ? 404 : 200).put("current", epoch));
                 });
             case "evacuate" -> {
                 String zone = m.path("zone").asText();
                 boolean on = m.path("on").asBoolean();
-                controller.evacuate(zone, on, ok -> {
+                controller.evacuate(zone, on, outcome -> {
+                    boolean ok = outcome == EvacuationOutcome.COMMITTED;
                     if (ok) {
                         runner.invariants.onEvacuationAcknowledged(zone, on);
                     }
