--- a/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
@@ -1,6 +1,7 @@
 package bramblespool.coordination.controller;
 
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterResult;
 import bramblespool.coordination.tenancy.ShardLeases;
 import bramblespool.coordination.tenancy.TenantRateLimiter;
 import bramblespool.state.ReplicatedState;
@@ -150,11 +151,12 @@
                 result -> responder.respond(admitted.withVerdict(verdictOf(result))));
     }
 
-    private static AdmissionResponse.Verdict verdictOf(RegisterProposer.Result result) {
-        return switch (result.outcome()) {
-            case CHOSEN -> new AdmissionResponse.Admitted();
-            case CONFLICT -> new AdmissionResponse.Claimed(result.value());
-            default -> new AdmissionResponse.Undecided();
-        };
+    private static AdmissionResponse.Verdict verdictOf(RegisterResult result) {
+        if (result instanceof RegisterResult.Chosen) {
+            return new AdmissionResponse.Admitted();
+        }
+        return result instanceof RegisterResult.Conflict conflict
+                ? new AdmissionResponse.Claimed(conflict.currentValue())
+                : new AdmissionResponse.Undecided();
     }
 }
--- a/src/main/java/bramblespool/coordination/controller/OperatorRequestHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/OperatorRequestHandler.java
@@ -2,6 +2,8 @@
 
 import bramblespool.coordination.configuration.ShadowCommitCoordinator;
 import bramblespool.protocol.OperatorRequest;
+import bramblespool.raft.LeadershipConfirmation;
+import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.ReplicatedState;
 import java.util.function.Consumer;
@@ -36,14 +38,22 @@
     /** Evacuates a zone, or ends that. Where the zone is in that state already, nothing is written. */
     public void evacuate(String zone, boolean isEvacuated, Consumer<EvacuationOutcome> callback) {
         assert confinement.isOwnThread() : "not on the event loop";
-        Consumer<Boolean> onConfirmed = isConfirmed ->
-                callback.accept(isConfirmed ? EvacuationOutcome.COMMITTED : EvacuationOutcome.LEADERSHIP_LOST);
         // What is proposed and not applied yet may be the opposite.
         if (raft.isLeader() && !raft.hasUnappliedEntries() && isEvacuated(zone) == isEvacuated) {
-            raft.confirmLeadership(onConfirmed);
+            raft.confirmLeadership(
+                    confirmation -> callback.accept(outcomeOf(confirmation == LeadershipConfirmation.CONFIRMED)));
             return;
         }
-        raft.propose(ReplicatedState.entry("evac").put("zone", zone).put("on", isEvacuated), onConfirmed);
+        raft.propose(
+                ReplicatedState.entry("evac")
+                        .put("zone", zone)
+                        .put("on", isEvacuated)
+                        .toString(),
+                outcome -> callback.accept(outcomeOf(outcome == ProposalOutcome.COMMITTED)));
+    }
+
+    private static EvacuationOutcome outcomeOf(boolean isCommitted) {
+        return isCommitted ? EvacuationOutcome.COMMITTED : EvacuationOutcome.LEADERSHIP_LOST;
     }
 
     private boolean isEvacuated(String zone) {
@@ -54,8 +64,10 @@
     /** Reads the newest version. */
     public void readConfiguration(Consumer<ConfigurationReadResult> callback) {
         assert confinement.isOwnThread() : "not on the event loop";
-        raft.confirmLeadership(isConfirmed ->
-                callback.accept(isConfirmed ? currentVersion() : new ConfigurationReadResult.Unconfirmed()));
+        raft.confirmLeadership(confirmation -> callback.accept(
+                confirmation == LeadershipConfirmation.CONFIRMED
+                        ? currentVersion()
+                        : new ConfigurationReadResult.Unconfirmed()));
     }
 
     private ConfigurationReadResult currentVersion() {
--- a/src/main/java/bramblespool/coordination/controller/ReplicatedStateMachine.java
+++ b/src/main/java/bramblespool/coordination/controller/ReplicatedStateMachine.java
@@ -5,8 +5,6 @@
 import bramblespool.raft.StateMachine;
 import bramblespool.state.ReplicatedState;
 import bramblespool.transport.Clock;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 
 /**
@@ -42,9 +40,9 @@
     }
 
     @Override
-    public void apply(long index, JsonNode entry) {
+    public void apply(long index, String entry) {
         long previousVotersChangedIndex = replicatedState.votersChangedIndex();
-        replicatedState.apply(index, entry);
+        replicatedState.apply(index, ReplicatedState.parse(entry));
         scheduleNotification();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read the registers that the others hold.
@@ -54,13 +52,13 @@
     }
 
     @Override
-    public ObjectNode snapshot() {
-        return replicatedState.snapshot();
+    public String snapshot() {
+        return replicatedState.snapshot().toString();
     }
 
     @Override
-    public void restore(JsonNode snapshot) {
-        replicatedState.restore(snapshot);
+    public void restore(String snapshot) {
+        replicatedState.restore(ReplicatedState.parse(snapshot));
         shardLeases.onVotersChanged();
         scheduleNotification();
     }
--- a/src/main/java/bramblespool/coordination/controller/ZoneGossip.java
+++ b/src/main/java/bramblespool/coordination/controller/ZoneGossip.java
@@ -7,7 +7,6 @@
 import bramblespool.transport.Clock;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.Collection;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -59,7 +58,7 @@
     }
 
     @Override
-    public Collection<String> pushTargets(GossipStore.Source source) {
+    public List<String> pushTargets(GossipStore.Source source) {
         List<String> targets = sessionAddresses.get();
         if (source != GossipStore.Source.CONTROLLER) {
             targets.addAll(otherControllers());
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -18,6 +18,7 @@
 import bramblespool.protocol.Heartbeat;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
@@ -26,7 +27,6 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -102,7 +102,7 @@
                 false,
                 new GossipStore.GossipPeers() {
                     @Override
-                    public Collection<String> pushTargets(GossipStore.Source source) {
+                    public Set<String> pushTargets(GossipStore.Source source) {
                         return selectPushTargets(source);
                     }
 
@@ -263,7 +263,7 @@
      * A cell tells all its sides and the other cells, so with a session only what the cell may not have heard goes to
      * it, and the own news to a few near peers besides. Without one, everything goes to a few near peers and a far one.
      */
-    private Collection<String> selectPushTargets(GossipStore.Source source) {
+    private Set<String> selectPushTargets(GossipStore.Source source) {
         Set<String> targets = new LinkedHashSet<>();
         if (hasSession()) {
             if (source != GossipStore.Source.CONTROLLER) {
@@ -422,7 +422,7 @@
                                     "doc",
                                     "cause",
                                     "another document");
-                        } catch (RoutingConfiguration.InvalidConfigurationException e) {
+                        } catch (InvalidConfigurationException e) {
                             log.logOnChange(
                                     Event.MESSAGE_DROPPED,
                                     "doc" + e.getMessage(),
@@ -577,7 +577,7 @@
                     }
                     return response.put("ok", true)
                             .put("difference", candidate.difference(shadowCommit.realConfiguration()));
-                } catch (RoutingConfiguration.InvalidConfigurationException e) {
+                } catch (InvalidConfigurationException e) {
                     return response.put("ok", false).put("refused", true).put("why", e.getMessage());
                 }
             }
