--- a/src/main/java/bramblespool/coordination/controller/AdmissionCodec.java
+++ b/src/main/java/bramblespool/coordination/controller/AdmissionCodec.java
@@ -6,6 +6,8 @@
 
 /** JSON of a request for admission, which holds that for a token, and of both responses. */
 final class AdmissionCodec implements PeerMessageCodec<AdmissionRequest, AdmissionResponse> {
+    static final AdmissionCodec INSTANCE = new AdmissionCodec();
+
     private static final String SHARD = "slice";
     private static final String TENANT = "tenant";
     private static final String EPOCH = "epoch";
@@ -29,7 +31,7 @@
     private static final String UNDECIDED = "none";
 
     /** The messages of the kind {@link PeerMessageKinds#TOKEN}: their fields are the same, and there is no claim. */
-    private final class TokenCodec implements PeerMessageCodec<TokenRequest, AdmissionResponse> {
+    static final PeerMessageCodec<TokenRequest, AdmissionResponse> TOKEN_CODEC = new PeerMessageCodec<>() {
         @Override
         public TokenRequest decodeRequest(JsonNode body) {
             return decodeTokenRequest(body);
@@ -37,13 +39,11 @@
 
         @Override
         public ObjectNode encodeResponse(AdmissionResponse response) {
-            return AdmissionCodec.this.encodeResponse(response);
+            return INSTANCE.encodeResponse(response);
         }
-    }
+    };
 
-    PeerMessageCodec<TokenRequest, AdmissionResponse> tokenCodec() {
-        return new TokenCodec();
-    }
+    private AdmissionCodec() {}
 
     @Override
     public AdmissionRequest decodeRequest(JsonNode body) {
--- a/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
@@ -24,7 +24,6 @@
     private final ShardLeases shardLeases;
     private final TenantRateLimiter rateLimiter;
     private final RegisterProposer registerProposer;
-    private final AdmissionCodec codec;
     /** Owners of shards that did not answer, and when that was. */
     private final Map<String, Long> unresponsiveSinceMs = new HashMap<>();
 
@@ -33,8 +32,7 @@
             ReplicatedState replicatedState,
             ShardLeases shardLeases,
             TenantRateLimiter rateLimiter,
-            RegisterProposer registerProposer,
-            AdmissionCodec codec) {
+            RegisterProposer registerProposer) {
         this.local = context.local();
         this.clock = context.clock();
         this.context = context;
@@ -42,7 +40,6 @@
         this.shardLeases = shardLeases;
         this.rateLimiter = rateLimiter;
         this.registerProposer = registerProposer;
-        this.codec = codec;
     }
 
     /** Decides on a proxy's request; the token comes first, and without one nothing is claimed. */
@@ -72,7 +69,7 @@
                 .call(
                         owner,
                         PeerMessageKinds.TOKEN,
-                        codec.encodeTokenRequest(tokenRequest),
+                        AdmissionCodec.INSTANCE.encodeTokenRequest(tokenRequest),
                         Math.max(1, request.timeoutMs() / OWNER_TIMEOUT_DIVISOR),
                         body -> {
                             if (body == null) {
@@ -81,7 +78,7 @@
                                 afterToken(request, AdmissionResponse.UNDECIDED, responder);
                                 return;
                             }
-                            AdmissionResponse response = codec.decodeTokenResponse(body);
+                            AdmissionResponse response = AdmissionCodec.INSTANCE.decodeTokenResponse(body);
                             if (response.isUndecided()) {
                                 shardLeases.onWrongOwner(tokenRequest.shard());
                             }
--- a/src/main/java/bramblespool/coordination/controller/OperatorRequestHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/OperatorRequestHandler.java
@@ -32,7 +32,7 @@
             callback.accept(OperatorRequest.Result.unknown("not the leader"));
             return;
         }
-        commitCoordinator.submit(change, callback);
+        commitCoordinator.submit(change, outcome -> callback.accept(outcome.toResult()));
     }
 
     /** Evacuates a zone, or ends that. Where the zone is in that state already, nothing is written. */
--- a/src/main/java/bramblespool/coordination/controller/PeerMessageKinds.java
+++ b/src/main/java/bramblespool/coordination/controller/PeerMessageKinds.java
@@ -2,7 +2,7 @@
 
 /**
  * Kinds of the messages between daemons that a controller serves itself. They stand on the wire, so they are those of
- * 0.4.0; the kinds of consensus, registers, shard leases, usage and gossip stand with those parts.
+ * 0.4.0. The kinds of consensus, registers, shard leases, usage, fencing tokens, phases and gossip stand with those parts.
  */
 final class PeerMessageKinds {
     /** A proxy opens, renews or closes its session. */
@@ -13,16 +13,8 @@
     static final String ADMIT = "admit";
     /** A controller asks the owner of a shard for a token of a tenant. */
     static final String TOKEN = "token";
-    /** The owner of a singleton role asks the leader for a higher fencing token. */
-    static final String RAISE_FENCING_TOKEN = "raise";
-    /** The leader asks a controller to pass a phase of the shadow commit on to proxies with sessions there. */
-    static final String PHASE_RELAY = "cell";
-    /** A controller passes a phase of the shadow commit on to a proxy. */
-    static final String PHASE = "phase";
     /** A proxy asks for the document of a version. */
     static final String DOCUMENT = "doc";
-    /** Anybody asks whether this controller answers, and whether it has heard of the leader lately. */
-    static final String PING = "ping";
     /** The status command asks for a report. */
     static final String STATUS = "status";
 
--- a/src/main/java/bramblespool/coordination/controller/RetryLeaseCodec.java
+++ b/src/main/java/bramblespool/coordination/controller/RetryLeaseCodec.java
@@ -6,6 +6,8 @@
 
 /** JSON of retry leases' messages. */
 final class RetryLeaseCodec implements PeerMessageCodec<RetryLeaseRequest, RetryLeaseResponse> {
+    static final RetryLeaseCodec INSTANCE = new RetryLeaseCodec();
+
     private static final String SERVICE = "service";
     /** Not sent where it is false. */
     private static final String IS_FORWARDED = "passed";
@@ -13,6 +15,8 @@
     private static final String DURATION_MS = "life";
     private static final String RETRIES = "tries";
 
+    private RetryLeaseCodec() {}
+
     @Override
     public RetryLeaseRequest decodeRequest(JsonNode body) {
         return new RetryLeaseRequest(
--- a/src/main/java/bramblespool/coordination/controller/RetryLeaseHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/RetryLeaseHandler.java
@@ -1,5 +1,6 @@
 package bramblespool.coordination.controller;
 
+import bramblespool.coordination.singleton.SingletonRoleKeys;
 import bramblespool.coordination.traffic.RetryBudgetLeases;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.ReplicatedState;
@@ -15,27 +16,24 @@
     private final ReplicatedState replicatedState;
     private final SingletonRoleScheduler roleScheduler;
     private final RetryBudgetLeases leases;
-    private final RetryLeaseCodec codec;
 
     RetryLeaseHandler(
             ControllerContext context,
             RaftNode raft,
             ReplicatedState replicatedState,
-            SingletonRoleScheduler roleScheduler,
-            RetryLeaseCodec codec) {
+            SingletonRoleScheduler roleScheduler) {
         Settings.Bounds bounds = context.local().settings().bounds();
         this.context = context;
         this.raft = raft;
         this.replicatedState = replicatedState;
         this.roleScheduler = roleScheduler;
         this.leases = new RetryBudgetLeases(context.clock(), bounds.retryAllowance(), bounds.retryWindowMs());
-        this.codec = codec;
     }
 
     /** Grants retries, or passes the request on; refuses it where nobody is known to ask. */
     void handle(RetryLeaseRequest request, Responder<RetryLeaseResponse> responder) {
         String service = request.service();
-        String roleKey = SingletonRoleScheduler.retryBudgetRole(service);
+        String roleKey = SingletonRoleKeys.RETRY_BUDGET_PREFIX + service;
         ReplicatedState.SingletonRole role = replicatedState.singletonRoles().get(roleKey);
         String owner = role == null ? leaderAddress() : role.owner();
         if (context.local().peerAddress().equals(owner)) {
@@ -63,13 +61,13 @@
                 .call(
                         owner,
                         PeerMessageKinds.RETRY_LEASE,
-                        codec.encodeForwardedRequest(service),
+                        RetryLeaseCodec.INSTANCE.encodeForwardedRequest(service),
                         context.callTimeoutMs() / 2,
                         response -> {
                             if (response == null) {
                                 responder.reject();
                             } else {
-                                responder.respond(codec.decodeResponse(response));
+                                responder.respond(RetryLeaseCodec.INSTANCE.decodeResponse(response));
                             }
                         });
     }
--- a/src/main/java/bramblespool/coordination/controller/SessionCodec.java
+++ b/src/main/java/bramblespool/coordination/controller/SessionCodec.java
@@ -6,6 +6,8 @@
 
 /** JSON of sessions' messages. */
 final class SessionCodec implements PeerMessageCodec<SessionRequest, SessionResponse> {
+    static final SessionCodec INSTANCE = new SessionCodec();
+
     private static final String NODE = "node";
     private static final String PEER_ADDRESS = "peer";
     private static final String INCARNATION = "life";
@@ -18,6 +20,8 @@
     private static final String HAS_LEADER_CONTACT = "touch";
     private static final String HAS_SAME_GOSSIP = "same";
 
+    private SessionCodec() {}
+
     @Override
     public SessionRequest decodeRequest(JsonNode body) {
         return new SessionRequest(
--- a/src/main/java/bramblespool/coordination/controller/SingletonRoleScheduler.java
+++ b/src/main/java/bramblespool/coordination/controller/SingletonRoleScheduler.java
@@ -2,17 +2,18 @@
 
 import bramblespool.coordination.discovery.RegistryReader;
 import bramblespool.coordination.hashing.RendezvousHash;
+import bramblespool.coordination.singleton.ControllerPeers;
+import bramblespool.coordination.singleton.FencingTokenRenewal;
+import bramblespool.coordination.singleton.SingletonRoleKeys;
 import bramblespool.coordination.singleton.SingletonRoles;
 import bramblespool.coordination.singleton.UsageReporter;
 import bramblespool.raft.RaftNode;
-import bramblespool.state.EventLog;
-import bramblespool.state.EventLog.Event;
 import bramblespool.state.ReplicatedState;
-import java.util.Collection;
+import bramblespool.state.Settings;
+import bramblespool.transport.PlatformClient;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.TreeSet;
-import java.util.function.Supplier;
 
 /**
  * Which singleton roles there are, and what this controller does for those it owns. Roles are: reading the registry of
@@ -20,56 +21,76 @@
  * Confined to the event loop.
  */
 final class SingletonRoleScheduler {
-    /** Begins the key of the role of reading a zone's registry; in the log since 0.4.0. */
-    private static final String REGISTRY_ROLE_PREFIX = "list/";
-    /** Begins the key of the role of leasing out a service's retry budget; in the log since 0.4.0. */
-    private static final String RETRY_BUDGET_ROLE_PREFIX = "slack/";
     /** Roles that are kept in mind between the first request and their assignment. */
     private static final int MAX_REQUESTED_ROLES = 1000;
+    /** Ratio to other calls' time-out of that of a call between controllers for a role. */
+    private static final int CALL_TIMEOUT_DIVISOR = 2;
 
     private final LocalController local;
-    private final EventLog log;
     private final RaftNode raft;
     private final ReplicatedState replicatedState;
+    private final ZoneGossip zoneGossip;
     private final RegistryReaders registryReaders;
-    private final Supplier<? extends Collection<String>> otherControllers;
-    private final boolean reportsUsage;
     private final SingletonRoles singletonRoles;
+    private final FencingTokenRenewal tokenRenewal;
+    /** Null where the platform wants no usage reports. */
+    private final UsageReporter usageReporter;
     /** Keys of roles that somebody has asked for; a service's retry budget needs no owner before. */
     private final Set<String> requestedRoles = new HashSet<>();
 
     /**
-     * @param otherControllers peer addresses of the other controllers
-     * @param reportsUsage whether the platform wants usage reports
+     * @param platform the platform's client, or null where there is none
+     * @param hasFreshStore whether this process founded its store
      */
     SingletonRoleScheduler(
             ControllerContext context,
-            RaftNode raft,
-            ReplicatedState replicatedState,
-            RegistryReaders registryReaders,
-            Supplier<? extends Collection<String>> otherControllers,
-            boolean reportsUsage) {
+            GroupMember member,
+            ZoneGossip zoneGossip,
+            SessionRegistry sessions,
+            PlatformClient platform,
+            boolean hasFreshStore) {
         this.local = context.local();
-        this.log = context.log();
-        this.raft = raft;
-        this.replicatedState = replicatedState;
-        this.registryReaders = registryReaders;
-        this.otherControllers = otherControllers;
-        this.reportsUsage = reportsUsage;
-        this.singletonRoles = new SingletonRoles(raft, replicatedState, this::roleKeys, UsageReporter.ROLE_KEY::equals);
+        this.raft = member.raft();
+        this.replicatedState = member.replicatedState();
+        this.zoneGossip = zoneGossip;
+        this.registryReaders = new RegistryReaders(context, platform, zoneGossip.store(), sessions);
+        this.singletonRoles =
+                new SingletonRoles(raft, replicatedState, this::roleKeys, SingletonRoleKeys.USAGE::equals);
+        long callTimeoutMs = context.callTimeoutMs() / CALL_TIMEOUT_DIVISOR;
+        this.tokenRenewal =
+                new FencingTokenRenewal(raft, singletonRoles, context.transport(), callTimeoutMs, context.log());
+        Settings settings = local.settings();
+        this.usageReporter = platform == null || settings.usageReporting() == null
+                ? null
+                : new UsageReporter(
+                        settings,
+                        hasFreshStore,
+                        new UsageReporter.Environment(context.clock(), platform, context.log()),
+                        new UsageReporter.Replication(
+                                raft, replicatedState, tokenRenewal, member.registerProposer(), zoneGossip.store()),
+                        new ControllerPeers(context.transport(), zoneGossip::otherControllers, callTimeoutMs),
+                        sessions::members);
     }
 
-    /** The key of the role of leasing out a service's retry budget. */
-    static String retryBudgetRole(String service) {
-        return RETRY_BUDGET_ROLE_PREFIX + service;
+    /** Starts what runs on timers of its own; {@link #check} is called by the controller's. */
+    void start() {
+        if (usageReporter != null) {
+            usageReporter.start();
+        }
     }
 
-    private static String registryRole(String zone) {
-        return REGISTRY_ROLE_PREFIX + zone;
+    /** Serves requests for higher fencing tokens. */
+    FencingTokenRenewal tokenRenewal() {
+        return tokenRenewal;
     }
 
-    SingletonRoles singletonRoles() {
-        return singletonRoles;
+    /** Collects usage, and reports it while this controller has the role; null where the platform wants no reports. */
+    UsageReporter usageReporter() {
+        return usageReporter;
+    }
+
+    private static String registryRole(String zone) {
+        return SingletonRoleKeys.REGISTRY_PREFIX + zone;
     }
 
     /** Takes note that a role needs an owner, unless very many do. */
@@ -84,8 +105,8 @@
         Set<String> keys = new TreeSet<>(replicatedState.singletonRoles().keySet());
         registryReaders.byZone().keySet().forEach(zone -> keys.add(registryRole(zone)));
         keys.addAll(requestedRoles);
-        if (reportsUsage) {
-            keys.add(UsageReporter.ROLE_KEY);
+        if (usageReporter != null) {
+            keys.add(SingletonRoleKeys.USAGE);
         }
         return keys;
     }
@@ -109,31 +130,9 @@
     /** Whether this controller is among the first in line for a role: so many that one outlives the tolerable losses. */
     private boolean isSuccessionCandidate(String key) {
         long ownWeight = RendezvousHash.weight(key, local.peerAddress());
-        return otherControllers.get().stream()
+        return zoneGossip.otherControllers().stream()
                         .filter(controller -> RendezvousHash.weight(key, controller) > ownWeight)
                         .count()
                 <= local.settings().tolerableMachineLosses();
     }
-
-    /**
-     * Raises the fencing token of a role, where this controller leads in the term that the owner names.
-     *
-     * @return this controller's term
-     */
-    long raiseFencingToken(RaiseFencingTokenRequest request) {
-        raft.observeTerm(request.term());
-        if (request.term() == raft.currentTerm()) {
-            singletonRoles.raiseFencingToken(request.roleKey(), request.fencingToken());
-        } else {
-            log.log(
-                    Event.STALE_TERM_REJECTED,
-                    "kind",
-                    PeerMessageKinds.RAISE_FENCING_TOKEN,
-                    "term",
-                    request.term(),
-                    "knownTerm",
-                    raft.currentTerm());
-        }
-        return raft.currentTerm();
-    }
 }
--- a/src/main/java/bramblespool/coordination/controller/StatusReporter.java
+++ b/src/main/java/bramblespool/coordination/controller/StatusReporter.java
@@ -3,9 +3,7 @@
 import bramblespool.coordination.configuration.ShadowCommitCoordinator;
 import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
-import bramblespool.coordination.register.RegisterProposer;
 import bramblespool.coordination.singleton.UsageReporter;
-import bramblespool.coordination.tenancy.ShardLeases;
 import bramblespool.coordination.tenancy.TenantRateLimiter;
 import bramblespool.coordination.traffic.OverloadDetector;
 import bramblespool.raft.RaftNode;
@@ -16,36 +14,26 @@
 
 /** Gathers the status report from the parts of a controller; changes none of them. Confined to the event loop. */
 final class StatusReporter {
-    /** What the group of controllers agrees on, and how. */
-    record GroupParts(RaftNode raft, ReplicatedState replicatedState, ShadowCommitCoordinator commitCoordinator) {}
-
-    /** What tenants' limits and idempotency keys rest on. */
-    record TenancyParts(RegisterProposer registerProposer, ShardLeases shardLeases, TenantRateLimiter rateLimiter) {}
-
-    private final LocalController local;
-    private final GroupParts group;
-    private final TenancyParts tenancy;
-    private final UsageReporter usageReporter;
-    private final OverloadDetector overloadDetector;
-    private final GossipStore gossip;
-    private final SessionRegistry sessions;
-
-    /** @param usageReporter null where the platform wants no usage reports */
-    StatusReporter(
-            LocalController local,
-            GroupParts group,
-            TenancyParts tenancy,
+    /**
+     * The parts that are reported on.
+     *
+     * @param usageReporter null where the platform wants no usage reports
+     */
+    record Sources(
+            GroupMember member,
+            ShadowCommitCoordinator commitCoordinator,
+            TenantRateLimiter rateLimiter,
             UsageReporter usageReporter,
             OverloadDetector overloadDetector,
             GossipStore gossip,
-            SessionRegistry sessions) {
+            SessionRegistry sessions) {}
+
+    private final LocalController local;
+    private final Sources sources;
+
+    StatusReporter(LocalController local, Sources sources) {
         this.local = local;
-        this.group = group;
-        this.tenancy = tenancy;
-        this.usageReporter = usageReporter;
-        this.overloadDetector = overloadDetector;
-        this.gossip = gossip;
-        this.sessions = sessions;
+        this.sources = sources;
     }
 
     /** The state of affairs now. */
@@ -53,12 +41,16 @@
         Settings settings = local.settings();
         return new ControllerStatus(
                 new ControllerStatus.Identity(
-                        settings.node(), settings.zone(), group.raft().localId()),
-                consensus(group.raft()),
-                agreed(group.replicatedState()),
-                new ControllerStatus.Load(overloadDetector.latenessMs(), overloadDetector.isOverloaded()),
-                tenancy(tenancy.registerProposer()),
-                usageReporter == null ? null : usageReporter.status(),
+                        settings.node(),
+                        settings.zone(),
+                        sources.member().raft().localId()),
+                consensus(sources.member().raft()),
+                agreed(sources.member().replicatedState()),
+                new ControllerStatus.Load(
+                        sources.overloadDetector().latenessMs(),
+                        sources.overloadDetector().isOverloaded()),
+                tenancy(sources.member()),
+                sources.usageReporter() == null ? null : sources.usageReporter().status(),
                 proxies());
     }
 
@@ -80,28 +72,29 @@
         return new ControllerStatus.Agreed(
                 state.current().epoch(),
                 state.phase().name(),
-                group.commitCoordinator().unconfirmed(),
+                sources.commitCoordinator().unconfirmed(),
                 evacuations,
                 roleOwners);
     }
 
-    private ControllerStatus.Tenancy tenancy(RegisterProposer registers) {
+    private ControllerStatus.Tenancy tenancy(GroupMember member) {
         return new ControllerStatus.Tenancy(
-                tenancy.shardLeases().ownedCount(),
-                registers.registerCount(),
-                registers.proposalRounds(),
-                registers.unknownOutcomes(),
-                registers.isSynced(),
-                tenancy.rateLimiter().deniedCounts());
+                member.shardLeases().ownedCount(),
+                member.registerProposer().registerCount(),
+                member.registerProposer().proposalRounds(),
+                member.registerProposer().unknownOutcomes(),
+                member.registerProposer().isSynced(),
+                sources.rateLimiter().deniedCounts());
     }
 
     private Map<String, ControllerStatus.Proxy> proxies() {
         Map<String, ControllerStatus.Proxy> proxies = new LinkedHashMap<>();
-        for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(GossipKeys.PROXY_KEY_PREFIX)) {
+        for (GossipStore.GossipEntry entry : sources.gossip().entriesWithPrefix(GossipKeys.PROXY_KEY_PREFIX)) {
             String node = entry.key().substring(GossipKeys.PROXY_KEY_PREFIX.length());
             proxies.put(
                     node,
-                    new ControllerStatus.Proxy(entry.body(), sessions.members().contains(node)));
+                    new ControllerStatus.Proxy(
+                            entry.body(), sources.sessions().members().contains(node)));
         }
         return proxies;
     }
--- a/src/test/java/bramblespool/coordination/controller/PeerMessageCodecsTest.java
+++ b/src/test/java/bramblespool/coordination/controller/PeerMessageCodecsTest.java
@@ -15,9 +15,9 @@
 
 /** The JSON of 0.4.0, field by field. */
 class PeerMessageCodecsTest {
-    private final SessionCodec sessionCodec = new SessionCodec();
-    private final AdmissionCodec admissionCodec = new AdmissionCodec();
-    private final RetryLeaseCodec retryLeaseCodec = new RetryLeaseCodec();
+    private final SessionCodec sessionCodec = SessionCodec.INSTANCE;
+    private final AdmissionCodec admissionCodec = AdmissionCodec.INSTANCE;
+    private final RetryLeaseCodec retryLeaseCodec = RetryLeaseCodec.INSTANCE;
 
     @Test
     void sessionRequest() {
@@ -70,7 +70,7 @@
                 admissionCodec
                         .decodeRequest(json("{'register':'5/x','claim':'claim','instead':'old'}"))
                         .claim());
-        assertEquals(token, admissionCodec.tokenCodec().decodeRequest(tokenBody));
+        assertEquals(token, AdmissionCodec.TOKEN_CODEC.decodeRequest(tokenBody));
         assertEncoded(tokenBody.toString(), admissionCodec.encodeTokenRequest(token));
     }
 
@@ -113,15 +113,11 @@
     }
 
     @Test
-    void raiseOfAFencingTokenAndDocument() {
-        RaiseFencingTokenCodec raiseCodec = new RaiseFencingTokenCodec();
+    void document() {
         assertEquals(
-                new RaiseFencingTokenRequest("usage", 3, 1),
-                raiseCodec.decodeRequest(json("{'key':'usage','fence':3,'term':1}")));
-        assertEncoded("{'term':1}", raiseCodec.encodeResponse(1L));
-        DocumentCodec documentCodec = new DocumentCodec();
-        assertEquals(new DocumentRequest(5, "29e2"), documentCodec.decodeRequest(json("{'epoch':5,'stamp':'29e2'}")));
-        assertEncoded("{'doc':'eAF9'}", documentCodec.encodeResponse("eAF9"));
+                new DocumentRequest(5, "29e2"),
+                DocumentCodec.INSTANCE.decodeRequest(json("{'epoch':5,'stamp':'29e2'}")));
+        assertEncoded("{'doc':'eAF9'}", DocumentCodec.INSTANCE.encodeResponse("eAF9"));
     }
 
     @Test
--- a/src/test/java/bramblespool/coordination/controller/PeerMessageDispatcherTest.java
+++ b/src/test/java/bramblespool/coordination/controller/PeerMessageDispatcherTest.java
@@ -20,7 +20,9 @@
     @Test
     void aRequestIsDecodedAndItsResponseEncoded() {
         dispatcher.register(
-                "doc", new DocumentCodec(), (request, responder) -> responder.respond("document " + request.epoch()));
+                "doc",
+                DocumentCodec.INSTANCE,
+                (request, responder) -> responder.respond("document " + request.epoch()));
 
         dispatcher.handleRequest("doc", REQUEST, responses::add);
 
@@ -29,7 +31,7 @@
 
     @Test
     void aRejectedRequestAndAnUnknownKindAreRefused() {
-        dispatcher.register("doc", new DocumentCodec(), (request, responder) -> responder.reject());
+        dispatcher.register("doc", DocumentCodec.INSTANCE, (request, responder) -> responder.reject());
 
         dispatcher.handleRequest("doc", REQUEST, responses::add);
         dispatcher.handleRequest("unknown", REQUEST, responses::add);
