--- a/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
@@ -27,19 +27,14 @@
     /** Owners of shards that did not answer, and when that was. */
     private final Map<String, Long> unresponsiveSinceMs = new HashMap<>();
 
-    AdmissionHandler(
-            ControllerContext context,
-            ReplicatedState replicatedState,
-            ShardLeases shardLeases,
-            TenantRateLimiter rateLimiter,
-            RegisterProposer registerProposer) {
+    AdmissionHandler(ControllerContext context, GroupMember member, TenantRateLimiter rateLimiter) {
         this.local = context.local();
         this.clock = context.clock();
         this.context = context;
-        this.replicatedState = replicatedState;
-        this.shardLeases = shardLeases;
+        this.replicatedState = member.replicatedState();
+        this.shardLeases = member.shardLeases();
         this.rateLimiter = rateLimiter;
-        this.registerProposer = registerProposer;
+        this.registerProposer = member.registers().proposer();
     }
 
     /** Decides on a proxy's request; the token comes first, and without one nothing is claimed. */
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -9,6 +9,7 @@
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterService;
 import bramblespool.coordination.singleton.FencingTokenCodec;
 import bramblespool.coordination.tenancy.TenantRateLimiter;
 import bramblespool.coordination.traffic.OverloadDetector;
@@ -139,7 +140,7 @@
     /** Parts with kinds of message of their own; the order is that in which they are asked, the busiest first. */
     private void addMessageFamilies() {
         dispatcher.addFamily(member.raft()::handleRequest);
-        dispatcher.addFamily(member.registerProposer()::handleRequest);
+        dispatcher.addFamily(member.registers()::handleRequest);
         dispatcher.addFamily(member.shardLeases()::handleRequest);
         if (roleScheduler.usageReporter() != null) {
             dispatcher.addFamily(roleScheduler.usageReporter()::handleRequest);
@@ -149,12 +150,10 @@
 
     /** Kinds of message by which sidecars and gateways ask something of their controller. */
     private void registerProxyMessages(ControllerContext context, TenantRateLimiter rateLimiter) {
-        ReplicatedState replicatedState = member.replicatedState();
         SessionHandler sessionHandler = new SessionHandler(sessions, roleScheduler.usageReporter());
-        RetryLeaseHandler retryLeases = new RetryLeaseHandler(context, member.raft(), replicatedState, roleScheduler);
-        AdmissionHandler admission = new AdmissionHandler(
-                context, replicatedState, member.shardLeases(), rateLimiter, member.registerProposer());
-        ConfigurationDocuments documents = new ConfigurationDocuments(replicatedState);
+        RetryLeaseHandler retryLeases = new RetryLeaseHandler(context, member, roleScheduler);
+        AdmissionHandler admission = new AdmissionHandler(context, member, rateLimiter);
+        ConfigurationDocuments documents = new ConfigurationDocuments(member.replicatedState());
         dispatcher.register(PeerMessageKinds.SESSION, SessionCodec.INSTANCE, sessionHandler::handle);
         dispatcher.register(PeerMessageKinds.RETRY_LEASE, RetryLeaseCodec.INSTANCE, retryLeases::handle);
         dispatcher.register(PeerMessageKinds.ADMIT, AdmissionCodec.INSTANCE, admission::admit);
@@ -199,13 +198,13 @@
         zoneGossip.publishSelf();
         member.raft().start();
         overloadDetector.start();
-        member.registerProposer().start();
+        member.registers().start();
         member.shardLeases().start();
         roleScheduler.start();
         clock.execute(this::join);
         clock.scheduleRepeatedly(renewalMs, () -> {
             sessions.closeExpired();
-            member.registerProposer().sync();
+            member.registers().sync();
             zoneGossip.publishVoterChange();
         });
         clock.scheduleRepeatedly(renewalMs, zoneGossip::reconcile);
@@ -275,7 +274,12 @@
     }
 
     /** This controller's part in the registers. */
+    public RegisterService registers() {
+        return member.registers();
+    }
+
+    /** Proposes values for registers. */
     public RegisterProposer registerProposer() {
-        return member.registerProposer();
+        return member.registers().proposer();
     }
 }
--- a/src/main/java/bramblespool/coordination/controller/GroupMember.java
+++ b/src/main/java/bramblespool/coordination/controller/GroupMember.java
@@ -1,6 +1,8 @@
 package bramblespool.coordination.controller;
 
-import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterService;
+import bramblespool.coordination.register.RegisterTimings;
+import bramblespool.coordination.register.RegisterVoters;
 import bramblespool.coordination.tenancy.IdempotencyTable;
 import bramblespool.coordination.tenancy.ShardLeases;
 import bramblespool.raft.RaftNode;
@@ -19,7 +21,7 @@
     private static final int REGISTER_BATCH_DIVISOR = 150;
 
     private final ReplicatedState replicatedState;
-    private final RegisterProposer registerProposer;
+    private final RegisterService registers;
     private final ShardLeases shardLeases;
     private final RaftNode raft;
 
@@ -36,26 +38,26 @@
             Runnable onStateChanged,
             Consumer<Boolean> onLeadershipChanged) {
         this.replicatedState = replicatedState;
-        this.registerProposer = newRegisterProposer(context, identity, durableStore);
+        this.registers = newRegisters(context, identity, durableStore);
         this.shardLeases = newShardLeases(context, identity);
         ReplicatedStateMachine stateMachine = new ReplicatedStateMachine(
-                replicatedState, registerProposer, shardLeases, context.clock(), onStateChanged, onLeadershipChanged);
+                replicatedState, registers, shardLeases, context.clock(), onStateChanged, onLeadershipChanged);
         this.raft = newRaftNode(context, identity, durableStore, stateMachine);
     }
 
-    private RegisterProposer newRegisterProposer(
+    private RegisterService newRegisters(
             ControllerContext context, StoredIdentity identity, DurableStore durableStore) {
         Settings settings = context.local().settings();
-        return new RegisterProposer(
-                replicatedState,
-                identity.memberId(),
-                settings.tolerableMachineLosses() + 1,
+        RegisterTimings timings = new RegisterTimings(
+                settings.bounds().applyMs() / REGISTER_BATCH_DIVISOR,
+                context.callTimeoutMs() / 2,
+                registerRetentionMs(settings));
+        return new RegisterService(
+                new RegisterVoters(replicatedState, identity.memberId(), settings.tolerableMachineLosses() + 1),
                 durableStore,
                 context.clock(),
                 context.transport(),
-                settings.bounds().applyMs() / REGISTER_BATCH_DIVISOR,
-                context.callTimeoutMs() / 2,
-                registerRetentionMs(settings),
+                timings,
                 context.log());
     }
 
@@ -63,7 +65,7 @@
         Settings settings = context.local().settings();
         return new ShardLeases(
                 replicatedState,
-                registerProposer,
+                registers.proposer(),
                 identity.memberId(),
                 context.clock(),
                 context.transport(),
@@ -102,8 +104,8 @@
         return replicatedState;
     }
 
-    RegisterProposer registerProposer() {
-        return registerProposer;
+    RegisterService registers() {
+        return registers;
     }
 
     ShardLeases shardLeases() {
--- a/src/main/java/bramblespool/coordination/controller/ReplicatedStateMachine.java
+++ b/src/main/java/bramblespool/coordination/controller/ReplicatedStateMachine.java
@@ -1,6 +1,6 @@
 package bramblespool.coordination.controller;
 
-import bramblespool.coordination.register.RegisterProposer;
+import bramblespool.coordination.register.RegisterService;
 import bramblespool.coordination.tenancy.ShardLeases;
 import bramblespool.raft.StateMachine;
 import bramblespool.state.ReplicatedState;
@@ -13,7 +13,7 @@
  */
 final class ReplicatedStateMachine implements StateMachine {
     private final ReplicatedState replicatedState;
-    private final RegisterProposer registerProposer;
+    private final RegisterService registers;
     private final ShardLeases shardLeases;
     private final Clock clock;
     private final Runnable onChanged;
@@ -26,13 +26,13 @@
      */
     ReplicatedStateMachine(
             ReplicatedState replicatedState,
-            RegisterProposer registerProposer,
+            RegisterService registers,
             ShardLeases shardLeases,
             Clock clock,
             Runnable onChanged,
             Consumer<Boolean> onLeadershipChanged) {
         this.replicatedState = replicatedState;
-        this.registerProposer = registerProposer;
+        this.registers = registers;
         this.shardLeases = shardLeases;
         this.clock = clock;
         this.onChanged = onChanged;
@@ -46,7 +46,7 @@
         scheduleNotification();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read the registers that the others hold.
-            clock.execute(registerProposer::sync);
+            clock.execute(registers::sync);
             shardLeases.onVotersChanged();
         }
     }
@@ -65,7 +65,7 @@
 
     @Override
     public boolean isSynced() {
-        return registerProposer.isSynced();
+        return registers.isSynced();
     }
 
     @Override
--- a/src/main/java/bramblespool/coordination/controller/RetryLeaseHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/RetryLeaseHandler.java
@@ -17,15 +17,11 @@
     private final SingletonRoleScheduler roleScheduler;
     private final RetryBudgetLeases leases;
 
-    RetryLeaseHandler(
-            ControllerContext context,
-            RaftNode raft,
-            ReplicatedState replicatedState,
-            SingletonRoleScheduler roleScheduler) {
+    RetryLeaseHandler(ControllerContext context, GroupMember member, SingletonRoleScheduler roleScheduler) {
         Settings.Bounds bounds = context.local().settings().bounds();
         this.context = context;
-        this.raft = raft;
-        this.replicatedState = replicatedState;
+        this.raft = member.raft();
+        this.replicatedState = member.replicatedState();
         this.roleScheduler = roleScheduler;
         this.leases = new RetryBudgetLeases(context.clock(), bounds.retryAllowance(), bounds.retryWindowMs());
     }
--- a/src/main/java/bramblespool/coordination/controller/SingletonRoleScheduler.java
+++ b/src/main/java/bramblespool/coordination/controller/SingletonRoleScheduler.java
@@ -67,7 +67,11 @@
                         hasFreshStore,
                         new UsageReporter.Environment(context.clock(), platform, context.log()),
                         new UsageReporter.Replication(
-                                raft, replicatedState, tokenRenewal, member.registerProposer(), zoneGossip.store()),
+                                raft,
+                                replicatedState,
+                                tokenRenewal,
+                                member.registers().proposer(),
+                                zoneGossip.store()),
                         new ControllerPeers(context.transport(), zoneGossip::otherControllers, callTimeoutMs),
                         sessions::members);
     }
--- a/src/main/java/bramblespool/coordination/controller/StatusReporter.java
+++ b/src/main/java/bramblespool/coordination/controller/StatusReporter.java
@@ -80,10 +80,10 @@
     private ControllerStatus.Tenancy tenancy(GroupMember member) {
         return new ControllerStatus.Tenancy(
                 member.shardLeases().ownedCount(),
-                member.registerProposer().registerCount(),
-                member.registerProposer().proposalRounds(),
-                member.registerProposer().unknownOutcomes(),
-                member.registerProposer().isSynced(),
+                member.registers().registerCount(),
+                member.registers().proposer().proposalRounds(),
+                member.registers().proposer().unknownOutcomes(),
+                member.registers().isSynced(),
                 sources.rateLimiter().deniedCounts());
     }
 
--- a/src/test/java/bramblespool/coordination/controller/PeerMessageCodecsTest.java
+++ b/src/test/java/bramblespool/coordination/controller/PeerMessageCodecsTest.java
@@ -2,12 +2,16 @@
 
 import static bramblespool.coordination.controller.ControllerTestContext.json;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import bramblespool.coordination.controller.AdmissionResponse.ShardOwner;
 import bramblespool.raft.MemberProgress;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.InputStream;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -162,6 +166,33 @@
         assertNull(ControllerStatusCodec.encode(status).get("usage"), "no reporter, no field");
     }
 
+    @Test
+    void recordedMessagesBetweenControllersAreTheSameOnceReadAndWrittenAgain() throws IOException {
+        for (JsonNode exchange : recorded("token")) {
+            JsonNode request = exchange.path("request");
+            JsonNode answer = exchange.path("answer");
+            assertEncoded(
+                    request.toString(),
+                    admissionCodec.encodeTokenRequest(AdmissionCodec.TOKEN_CODEC.decodeRequest(request)));
+            assertEncoded(
+                    answer.toString(),
+                    AdmissionCodec.TOKEN_CODEC.encodeResponse(admissionCodec.decodeTokenResponse(answer)));
+        }
+        for (JsonNode exchange : recorded("lease")) {
+            JsonNode answer = exchange.path("answer");
+            assertEncoded(answer.toString(), retryLeaseCodec.encodeResponse(retryLeaseCodec.decodeResponse(answer)));
+        }
+    }
+
+    private static JsonNode recorded(String kind) throws IOException {
+        try (InputStream file =
+                PeerMessageCodecsTest.class.getResourceAsStream("/fixtures/0.4.0/messages/" + kind + ".json")) {
+            JsonNode exchanges = new ObjectMapper().readTree(file);
+            assertFalse(exchanges.isEmpty());
+            return exchanges;
+        }
+    }
+
     /** Compares the texts: the order of the fields is kept as well. */
     private static void assertEncoded(String expected, ObjectNode body) {
         assertEquals(expected.replace('\'', '"'), body.toString());
