--- a/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
@@ -106,7 +106,7 @@
         return isGranted ? AdmissionResponse.ADMITTED : undecided;
     }
 
-    /** Takes a token as the shard's owner. Where the shard has none that is known, this controller tries to acquire it. */
+    /** Takes a token as the shard's owner. Where no owner is known, this controller tries to acquire the shard. */
     AdmissionResponse takeToken(TokenRequest request) {
         String shard = request.shard();
         long fencingToken = local.isLeaving() ? -1 : shardLeases.fencingToken(shard);
@@ -128,7 +128,7 @@
                 new AdmissionResponse.ShardOwner(local.peerAddress(), fencingToken));
     }
 
-    /** Claims the idempotency key, where there is one, for a request that may go on as far as its tenant is concerned. */
+    /** Claims the idempotency key, where there is one, for a request whose tenant is within its limit. */
     private void claim(AdmissionRequest request, AdmissionResponse admitted, Responder<AdmissionResponse> responder) {
         IdempotencyClaim claim = request.claim();
         if (claim == null) {
--- a/src/main/java/bramblespool/coordination/controller/ControllerStatus.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerStatus.java
@@ -44,7 +44,7 @@
      *
      * @param epoch the version in force
      * @param phase the phase that the shadow commit has reached
-     * @param unconfirmedProxies proxies that have not confirmed the last commit, as this controller knows from leading it
+     * @param unconfirmedProxies proxies that have not confirmed the last commit; only its leader knows them
      * @param evacuations whether each zone is evacuated, of those that ever were
      * @param roleOwners peer addresses of the singleton roles' owners
      */
--- a/src/main/java/bramblespool/coordination/controller/PeerMessageKinds.java
+++ b/src/main/java/bramblespool/coordination/controller/PeerMessageKinds.java
@@ -2,7 +2,8 @@
 
 /**
  * Kinds of the messages between daemons that a controller serves itself. They stand on the wire, so they are those of
- * 0.4.0. The kinds of consensus, registers, shard leases, usage, fencing tokens, phases and gossip stand with those parts.
+ * 0.4.0. The kinds of consensus, registers, shard leases, usage, fencing tokens, phases and gossip stand with those
+ * parts.
  */
 final class PeerMessageKinds {
     /** A proxy opens, renews or closes its session. */
--- a/src/main/java/bramblespool/coordination/controller/SingletonRoleScheduler.java
+++ b/src/main/java/bramblespool/coordination/controller/SingletonRoleScheduler.java
@@ -131,7 +131,7 @@
         reader.check();
     }
 
-    /** Whether this controller is among the first in line for a role: so many that one outlives the tolerable losses. */
+    /** Whether this controller is among the first in line for a role, of whom one outlives the tolerable losses. */
     private boolean isSuccessionCandidate(String key) {
         long ownWeight = RendezvousHash.weight(key, local.peerAddress());
         return zoneGossip.otherControllers().stream()
