--- a/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/AdmissionHandler.java
@@ -17,6 +17,11 @@
     /** Part of the proxy's time-out for which the shard's owner is waited for. */
     private static final int OWNER_TIMEOUT_DIVISOR = 3;
 
+    /** Part of the proxy's time-out within which a claim must be decided, so that the response is in time. */
+    private static final int CLAIM_TIMEOUT_NUMERATOR = 4;
+
+    private static final int CLAIM_TIMEOUT_DENOMINATOR = 5;
+
     private final LocalController local;
     private final Clock clock;
     private final ControllerContext context;
@@ -139,7 +144,7 @@
                 claim.registerId(),
                 claim.claim(),
                 claim.expectedClaim(),
-                Math.max(1, request.timeoutMs() * 4 / 5),
+                Math.max(1, request.timeoutMs() * CLAIM_TIMEOUT_NUMERATOR / CLAIM_TIMEOUT_DENOMINATOR),
                 result -> responder.respond(admitted.withVerdict(verdictOf(result))));
     }
 
--- a/src/main/java/bramblespool/coordination/controller/AdmissionResponse.java
+++ b/src/main/java/bramblespool/coordination/controller/AdmissionResponse.java
@@ -6,7 +6,7 @@
  * @param shardOwner who decided on the token; null where that was not the shard's owner, or no token was asked for
  */
 record AdmissionResponse(Verdict verdict, ShardOwner shardOwner) {
-    /** A verdict without the word of a shard's owner: nobody can tell. */
+    /** No verdict: no owner of the shard could be asked. */
     static final AdmissionResponse UNDECIDED = new AdmissionResponse(new Undecided(), null);
     /** Admission that no shard's owner had to decide on. */
     static final AdmissionResponse ADMITTED = new AdmissionResponse(new Admitted(), null);
@@ -31,7 +31,7 @@
     /** The idempotency key is another request's, whose claim is given. */
     record Claimed(String existingClaim) implements Verdict {}
 
-    /** Nobody could tell in time. */
+    /** No controller could decide in time. */
     record Undecided() implements Verdict {}
 
     boolean isAdmitted() {
@@ -42,7 +42,7 @@
         return verdict instanceof Undecided;
     }
 
-    /** Another verdict with the same word on the shard's owner. */
+    /** Another verdict, by the same owner of the shard. */
     AdmissionResponse withVerdict(Verdict newVerdict) {
         return new AdmissionResponse(newVerdict, shardOwner);
     }
--- a/src/main/java/bramblespool/coordination/controller/LeaderContact.java
+++ b/src/main/java/bramblespool/coordination/controller/LeaderContact.java
@@ -2,12 +2,12 @@
 
 import bramblespool.raft.RaftNode;
 
-/** Whether what this controller knows is recent: whether it could have heard of the leader's latest decisions. */
+/** Whether what this controller knows is recent: whether it could know the leader's latest decisions. */
 interface LeaderContact {
-    /** Whether this controller has lately heard from the leader or, as the leader, from a majority. */
+    /** Whether the leader, or a majority where this controller leads, was in contact with it lately. */
     boolean isRecent();
 
-    /** The highest term in which this controller has led or heard of a leader. */
+    /** The highest term in which this controller has led or knows of a leader. */
     long leaderTerm();
 
     static LeaderContact of(RaftNode raft) {
--- a/src/main/java/bramblespool/coordination/controller/OperatorRequestHandler.java
+++ b/src/main/java/bramblespool/coordination/controller/OperatorRequestHandler.java
@@ -5,6 +5,8 @@
 import bramblespool.raft.LeadershipConfirmation;
 import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
 import java.util.function.Consumer;
 
@@ -45,10 +47,7 @@
             return;
         }
         raft.propose(
-                ReplicatedState.entry("evac")
-                        .put("zone", zone)
-                        .put("on", isEvacuated)
-                        .toString(),
+                ReplicatedEntryCodec.encode(new ReplicatedEntry.EvacuationChanged(zone, isEvacuated)),
                 outcome -> callback.accept(outcomeOf(outcome == ProposalOutcome.COMMITTED)));
     }
 
--- a/src/main/java/bramblespool/coordination/controller/ReplicatedStateMachine.java
+++ b/src/main/java/bramblespool/coordination/controller/ReplicatedStateMachine.java
@@ -3,7 +3,9 @@
 import bramblespool.coordination.register.RegisterService;
 import bramblespool.coordination.tenancy.ShardLeases;
 import bramblespool.raft.StateMachine;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.transport.Clock;
 import java.util.function.Consumer;
 
@@ -42,7 +44,7 @@
     @Override
     public void apply(long index, String entry) {
         long previousVotersChangedIndex = replicatedState.votersChangedIndex();
-        replicatedState.apply(index, ReplicatedState.parse(entry));
+        replicatedState.apply(index, ReplicatedEntryCodec.decode(entry));
         scheduleNotification();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read the registers that the others hold.
@@ -53,12 +55,12 @@
 
     @Override
     public String snapshot() {
-        return replicatedState.snapshot().toString();
+        return ReplicatedStateSnapshotCodec.encode(replicatedState.snapshot());
     }
 
     @Override
     public void restore(String snapshot) {
-        replicatedState.restore(ReplicatedState.parse(snapshot));
+        replicatedState.restore(ReplicatedStateSnapshotCodec.decode(snapshot));
         shardLeases.onVotersChanged();
         scheduleNotification();
     }
--- a/src/main/java/bramblespool/coordination/controller/SessionResponse.java
+++ b/src/main/java/bramblespool/coordination/controller/SessionResponse.java
@@ -14,7 +14,7 @@
     /**
      * The session is open, be it new or renewed.
      *
-     * @param hasLeaderContact whether the controller has lately heard of the leader
+     * @param hasLeaderContact whether the controller was in contact with the leader lately
      * @param leaderTerm the highest term of a leader it knows; not sent where it has no contact
      * @param hasSameGossip whether the gossip stores of the two are equal
      */
--- a/src/main/java/bramblespool/coordination/controller/StoredIdentity.java
+++ b/src/main/java/bramblespool/coordination/controller/StoredIdentity.java
@@ -16,7 +16,7 @@
 record StoredIdentity(String memberId, DurableStore.PersistentState state, boolean hasFreshStore) {
     /** @param newIncarnation the incarnation of a member that joins with an empty store */
     static StoredIdentity load(Settings settings, DurableStore store, String newIncarnation) {
-        boolean isEmpty = store.load() == null;
+        boolean isEmpty = store.isEmpty();
         boolean hasFreshStore = isEmpty && settings.isBootstrap() && !store.hasQuarantinedDatabase();
         if (isEmpty) {
             List<String> founders =
--- a/src/test/java/bramblespool/coordination/controller/ControllerTestContext.java
+++ b/src/test/java/bramblespool/coordination/controller/ControllerTestContext.java
@@ -3,8 +3,10 @@
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.traffic.OverloadDetector;
 import bramblespool.state.EventLog;
+import bramblespool.state.InvalidSettingsException;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -95,8 +97,8 @@
                 memoryMb = 0
                 """ + SimulatedMesh.BOUNDS;
         try {
-            return Settings.parse(text, "test");
-        } catch (Settings.InvalidSettingsException e) {
+            return SettingsParser.parse(text, "test");
+        } catch (InvalidSettingsException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/bramblespool/testing/SimulatedMesh.java
+++ b/src/test/java/bramblespool/testing/SimulatedMesh.java
@@ -7,7 +7,9 @@
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.InvalidConfigurationException;
+import bramblespool.state.InvalidSettingsException;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -168,8 +170,8 @@
                         ip,
                         BOUNDS);
         try {
-            return Settings.parse(text, "simulated");
-        } catch (Settings.InvalidSettingsException e) {
+            return SettingsParser.parse(text, "simulated");
+        } catch (InvalidSettingsException e) {
             throw new IllegalStateException(e);
         }
     }
