--- a/src/main/java/bramblespool/coordination/configuration/PhaseHandler.java
+++ b/src/main/java/bramblespool/coordination/configuration/PhaseHandler.java
@@ -3,6 +3,7 @@
 import bramblespool.coordination.configuration.ShadowCommitParticipant.CandidateOutcome;
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
@@ -53,8 +54,8 @@
     private PhaseAcknowledgement recordCandidate(PhaseMessage message) {
         RoutingConfiguration candidate;
         try {
-            candidate =
-                    RoutingConfiguration.compileCompressed(message.candidate().compressedDocument());
+            candidate = RoutingConfigurationParser.parseCompressed(
+                    message.candidate().compressedDocument());
         } catch (InvalidConfigurationException e) {
             return new PhaseAcknowledgement.Rejected(e.getMessage());
         }
--- a/src/main/java/bramblespool/coordination/configuration/PhaseRunner.java
+++ b/src/main/java/bramblespool/coordination/configuration/PhaseRunner.java
@@ -39,9 +39,9 @@
                 currentTerm.getAsLong(),
                 ++lastRound,
                 replicatedState.current().epoch(),
-                candidate.epoch,
-                candidate.stamp,
-                new PhaseMessage.CandidateDocument(timeoutMs * attemptsLeft, candidate.compressedDocument));
+                candidate.epoch(),
+                candidate.stamp(),
+                new PhaseMessage.CandidateDocument(timeoutMs * attemptsLeft, candidate.compressedDocument()));
         sender.send(message, proxies, timeoutMs, callback);
     }
 
--- a/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
+++ b/src/main/java/bramblespool/coordination/configuration/ShadowCommitParticipant.java
@@ -6,12 +6,12 @@
 import bramblespool.transport.Clock;
 
 /**
- * A proxy's part in the shadow commit: two installed versions, a two-entry map that says which of them is real and which
- * is shadow, the tags of the commit under way, and how calls are marked.
+ * A proxy's part in the shadow commit: two installed versions, a two-entry map that says which of them is real and
+ * which is shadow, the tags of the commit under way, and how calls are marked.
  *
- * <p>Source: "Shadow Configuration as a Network Management Primitive", section 7.2 (the translation table), sections 6.2
- * and 6.3 (phases, and the return to the normal state where no TAG PACKET comes). The marks on calls are those of
- * docs/design.md: the bit {@code 0} or {@code 1}, or during a commit a {@link VersionTag}.
+ * <p>Source: "Shadow Configuration as a Network Management Primitive", section 7.2 (the translation table),
+ * sections 6.2 and 6.3 (phases, and the return to the normal state where no TAG PACKET comes). The marks on calls
+ * are those of docs/design.md: the bit {@code 0} or {@code 1}, or during a commit a {@link VersionTag}.
  *
  * <p>The real version's number never goes down while the process runs. Confined to the event loop.
  */
@@ -98,7 +98,7 @@
 
     /** The number of the version in force; 0 before the first. */
     public long epoch() {
-        return realConfiguration() == null ? 0 : realConfiguration().epoch;
+        return realConfiguration() == null ? 0 : realConfiguration().epoch();
     }
 
     /** Whether calls are marked with tags instead of the shadow bit. */
@@ -117,7 +117,8 @@
     }
 
     /**
-     * Finds the version that a received mark names. A tag also counts as TAG PACKET (section 6.2: "indirect triggering").
+     * Finds the version that a received mark names. A tag also counts as TAG PACKET (section 6.2: "indirect
+     * triggering").
      *
      * @param mark the mark, or null where the call bears none
      */
@@ -165,7 +166,7 @@
      * @param openForMs how long the phase may stay open for other proxies; added to the time limit
      */
     CandidateOutcome recordCandidate(long oldEpoch, long newEpoch, RoutingConfiguration candidate, long openForMs) {
-        if (isReal(newEpoch, candidate.stamp)) {
+        if (isReal(newEpoch, candidate.stamp())) {
             return CandidateOutcome.ALREADY_REAL;
         }
         if (epoch() != oldEpoch) {
@@ -175,7 +176,7 @@
         tags = new CommitTags(oldEpoch, newEpoch);
         state = state.after(CommitPhase.TAG_DISTRIBUTION);
         cancelRevertTimer();
-        revertTimer = clock.schedule(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp));
+        revertTimer = clock.schedule(revertTimeoutMs + openForMs, () -> revert(newEpoch, candidate.stamp()));
         return CandidateOutcome.RECORDED;
     }
 
@@ -250,18 +251,20 @@
      * @param isMarked whether the version's commit is over, so that no tags are needed
      */
     public void adopt(RoutingConfiguration decided, boolean isMarked) {
-        if (decided.epoch <= epoch()) {
+        if (decided.epoch() <= epoch()) {
             return;
         }
         cancelRevertTimer();
         installed[1 - realSlot] = decided;
         exchangeEntries();
-        long oldEpoch = shadowConfiguration() == null ? CommitTags.NO_EPOCH : shadowConfiguration().epoch;
-        tags = new CommitTags(oldEpoch, decided.epoch);
+        long oldEpoch = shadowConfiguration() == null
+                ? CommitTags.NO_EPOCH
+                : shadowConfiguration().epoch();
+        tags = new CommitTags(oldEpoch, decided.epoch());
         if (isMarked) {
-            markShadowBit(decided.epoch, decided.stamp);
+            markShadowBit(decided.epoch(), decided.stamp());
         }
-        log.log(Event.CONFIGURATION_ADOPTED, "epoch", decided.epoch, "trigger", "adopted");
+        log.log(Event.CONFIGURATION_ADOPTED, "epoch", decided.epoch(), "trigger", "adopted");
         changeListener.run();
     }
 
--- a/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
+++ b/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
@@ -9,7 +9,7 @@
 import bramblespool.protocol.Heartbeat;
 import bramblespool.state.EventLog;
 import bramblespool.state.InvalidConfigurationException;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import java.util.ArrayDeque;
@@ -104,7 +104,7 @@
     @Test
     void admissionCreatedAfterConfigurationHasItsSlowStartLimit() throws InvalidConfigurationException {
         ServerAdmissions gates = new ServerAdmissions();
-        gates.applyConfiguration(RoutingConfiguration.compile(SimulatedMesh.document(5, 0, "one")));
+        gates.applyConfiguration(RoutingConfigurationParser.parse(SimulatedMesh.document(5, 0, "one")));
         admission = new ServerAdmission(
                 machine,
                 new ServerAdmission.AdmissionSettings(0, 0, 2500, 1.5, 5),
@@ -268,7 +268,7 @@
             assertEquals(Set.of("desk"), budget.takeExhaustedServices(), "whoever lacks a try asks for one");
             int leaseSize = owner.grant("desk", 7);
             granted += leaseSize;
-            budget.leased("desk", leaseSize, simulator.nowMs() + owner.leaseDurationMs());
+            budget.addLease("desk", leaseSize, simulator.nowMs() + owner.leaseDurationMs());
             while (budget.tryAcquire("desk", simulator.nowMs())) {
                 drawn++;
             }
@@ -280,7 +280,7 @@
         simulator.run(owner.leaseDurationMs());
         RetryBudget late = new RetryBudget(0, 1);
         late.setProxyCount(500);
-        late.leased("desk", 1, simulator.nowMs() - 1);
+        late.addLease("desk", 1, simulator.nowMs() - 1);
         assertFalse(late.tryAcquire("desk", simulator.nowMs()), "a lease ends");
     }
 
