--- a/src/main/java/bramblespool/coordination/hashing/RendezvousHash.java
+++ b/src/main/java/bramblespool/coordination/hashing/RendezvousHash.java
@@ -3,9 +3,9 @@
 import java.util.Collection;
 
 /**
- * Rendezvous hashing, also known as highest random weight (Thaler and Ravishankar, "Using name-based mappings to increase
- * hit rates", 1998): all who know the same candidates name the same one for a key, and when a candidate goes only its own
- * keys move. Processes of different versions have to agree, so the function never changes.
+ * Rendezvous hashing, also known as highest random weight (Thaler and Ravishankar, "Using name-based mappings to
+ * increase hit rates", 1998): all who know the same candidates name the same one for a key, and when a candidate goes
+ * only its own keys move. Processes of different versions have to agree, so the function never changes.
  */
 public final class RendezvousHash {
     /** Odd 64-bit constants that spread 32-bit hash codes: of the golden ratio, and of xxHash64 (its second prime). */
--- a/src/main/java/bramblespool/coordination/register/AcceptorRequestBatcher.java
+++ b/src/main/java/bramblespool/coordination/register/AcceptorRequestBatcher.java
@@ -32,7 +32,9 @@
         this.timings = timings;
     }
 
-    /** Sends a request with the next message to the voter; the callback gets one reply, {@code NO_ANSWER} at the latest. */
+    /**
+     * Sends a request with the next message to the voter; the callback gets one reply, {@code NO_ANSWER} at the latest.
+     */
     void send(String voter, AcceptorRequest request, Consumer<AcceptorReply> callback) {
         List<PendingRequest> batch = openBatches.get(voter);
         if (batch == null) {
--- a/src/main/java/bramblespool/coordination/register/PhaseReplies.java
+++ b/src/main/java/bramblespool/coordination/register/PhaseReplies.java
@@ -63,16 +63,18 @@
     }
 
     /**
-     * The value that the granting acceptors have accepted under the highest number, or null where they have accepted none.
-     * Only a value that can have been chosen is there to be kept ("Paxos Made Simple", section 2.2, condition P2c).
+     * The value that the granting acceptors have accepted under the highest number, or null where they have accepted
+     * none. Only a value that can have been chosen is there to be kept ("Paxos Made Simple", section 2.2, condition
+     * P2c).
      */
     String newestValue() {
         return newestValue;
     }
 
     /**
-     * Whether the highest number stands for two values. Paxos rules it out; it happens only where one copy of a register
-     * has outlived the retention time and another has not, and a proposal without a prepare phase came in between.
+     * Whether the highest number stands for two values. Paxos rules it out; it happens only where one copy of a
+     * register has outlived the retention time and another has not, and a proposal without a prepare phase came in
+     * between.
      */
     boolean hasContradiction() {
         return hasContradiction;
--- a/src/main/java/bramblespool/coordination/register/Proposal.java
+++ b/src/main/java/bramblespool/coordination/register/Proposal.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * One change of a register under way (Rystsov, "CASPaxos: Replicated State Machines without logs"): a prepare phase finds
- * the value that may have been chosen, the change function is applied to it, and an accept phase writes the result.
- * Where other proposers interfere, the proposal begins again under a higher number.
+ * One change of a register under way (Rystsov, "CASPaxos: Replicated State Machines without logs"): a prepare phase
+ * finds the value that may have been chosen, the change function is applied to it, and an accept phase writes the
+ * result. Where other proposers interfere, the proposal begins again under a higher number.
  *
  * <p>The prepare phase may be skipped under round 0, the lowest number, for no lower proposal can have been chosen (cf.
  * "Paxos Made Simple", section 2.2, condition P2c, which is empty then). For this to be safe
@@ -19,8 +19,8 @@
  * <ul>
  *   <li>only one proposer uses round 0 for a register in one epoch of voters, the one that
  *       {@link RegisterVoters#isSelfPreferredProposer} names;
- *   <li>it proposes one value only: it writes the value to its own disk before it sends it, so a later incarnation of the
- *       process knows of it;
+ *   <li>it proposes one value only: it writes the value to its own disk before it sends it, so a later incarnation of
+ *       the process knows of it;
  *   <li>acceptors take round 0 only into a register of which they know nothing, and only in that epoch, see
  *       {@link RegisterAcceptor}; the quorums of successive epochs share an acceptor, so two epochs cannot both choose.
  * </ul>
@@ -71,7 +71,9 @@
         context.clock().schedule(timeoutMs, () -> finish(RegisterResult.UNKNOWN));
     }
 
-    /** Begins with what this controller's own acceptor knows of the register, if that helps, else with a prepare phase. */
+    /**
+     * Begins with what this controller's own acceptor knows of the register, if that helps, else with a prepare phase.
+     */
     void startFromLocalState() {
         RegisterState local = context.localRegisters().get(registerId);
         if (!local.isKnown() && maySkipPrepare()) {
--- a/src/main/java/bramblespool/coordination/register/ProposalNumber.java
+++ b/src/main/java/bramblespool/coordination/register/ProposalNumber.java
@@ -1,8 +1,8 @@
 package bramblespool.coordination.register;
 
 /**
- * A proposal number ("ballot number" in CASPaxos): of two proposals for one register the higher number prevails. Numbers
- * of different proposers differ, as Paxos demands (Lamport, "Paxos Made Simple", section 2.2).
+ * A proposal number ("ballot number" in CASPaxos): of two proposals for one register the higher number prevails.
+ * Numbers of different proposers differ, as Paxos demands (Lamport, "Paxos Made Simple", section 2.2).
  *
  * <p>Round 0 needs no prepare phase. Only one proposer may use it for one register and one epoch of voters, see
  * {@link Proposal}.
--- a/src/main/java/bramblespool/coordination/register/RegisterAcceptor.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterAcceptor.java
@@ -12,11 +12,11 @@
  * without logs"), one instance for each register.
  *
  * <ul>
- *   <li>It grants a prepare whose number is above all that it has promised or accepted, and from then on accepts nothing
- *       below that number.
+ *   <li>It grants a prepare whose number is above all that it has promised or accepted, and from then on accepts
+ *       nothing below that number.
  *   <li>It grants an accept whose number is not below its promise and not below what it has accepted.
- *   <li>It accepts a proposal without a prepare phase only into a register of which it knows nothing, and only under the
- *       epoch of voters in force: in one epoch one proposer may send such proposals, see {@link Proposal}.
+ *   <li>It accepts a proposal without a prepare phase only into a register of which it knows nothing, and only under
+ *       the epoch of voters in force: in one epoch one proposer may send such proposals, see {@link Proposal}.
  *   <li>Durable before answer: a promise or an acceptance is on disk before anyone learns of it.
  * </ul>
  *
@@ -56,7 +56,7 @@
         return new AcceptorReply(isGranted, state.highestSeenRound(), state.acceptedNumber(), state.acceptedValue());
     }
 
-    /** Whether the right to skip the prepare phase was another epoch's. */
+    /** Whether the permission to skip the prepare phase was of another epoch. */
     private boolean isOfOtherVoters(ProposalNumber number) {
         return number.isUnprepared() && number.votersEpoch() != voters.epoch();
     }
--- a/src/main/java/bramblespool/coordination/register/RegisterCodec.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterCodec.java
@@ -18,8 +18,8 @@
 import java.util.Optional;
 
 /**
- * The written form of the registers' messages and of stored registers, as version 0.4.0 wrote them: members of one group
- * may run different versions, and a store outlives an upgrade. Names and positions stand here only.
+ * The written form of the registers' messages and of stored registers, as version 0.4.0 wrote them: members of one
+ * group may run different versions, and a store outlives an upgrade. Names and positions stand here only.
  */
 final class RegisterCodec {
     /** Message kind of a {@link BatchRequest}. */
--- a/src/main/java/bramblespool/coordination/register/RegisterProposer.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterProposer.java
@@ -6,12 +6,13 @@
  * Proposes changes of registers on behalf of this controller; each is a {@link Proposal}. Any controller may propose, a
  * voter or not. A register's id begins with the number of its shard and a slash.
  *
- * <p>Confined to the event loop. A callback gets exactly one result, in the caller's time, and possibly before the method
- * returns.
+ * <p>Confined to the event loop. A callback gets exactly one result, in the caller's time, and possibly before the
+ * method returns.
  */
 public final class RegisterProposer {
     /**
-     * Begins the key by which rendezvous hashing names the voter that leads a shard's registers; the shard's number follows.
+     * Begins the key by which rendezvous hashing names the voter that leads a shard's registers; the shard's number
+     * follows.
      */
     public static final String SHARD_KEY_PREFIX = "tenants/";
 
--- a/src/main/java/bramblespool/coordination/register/RegisterResult.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterResult.java
@@ -5,17 +5,18 @@
  * quorum has answered or the caller's time is over.
  */
 public sealed interface RegisterResult {
-    /** The result of a proposal that nobody can tell the effect of. */
+    /** The result of a proposal whose effect is not known. */
     Unknown UNKNOWN = new Unknown();
 
     /** The result of reading an empty register. */
     Empty EMPTY = new Empty();
 
     /**
-     * A quorum has accepted the value: it is chosen, and every later proposal for this register finds it or a successor.
+     * A quorum has accepted the value: it is chosen, and every later proposal for this register finds it or a
+     * successor.
      *
-     * @param value the chosen value, which for {@link RegisterProposer#setIfAbsent} and {@link RegisterProposer#read} may
-     *     be another proposer's
+     * @param value the chosen value, which for {@link RegisterProposer#setIfAbsent} and {@link RegisterProposer#read}
+     *     may be another proposer's
      */
     record Chosen(String value) implements RegisterResult {}
 
--- a/src/main/java/bramblespool/coordination/register/RegisterService.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterService.java
@@ -14,8 +14,8 @@
 
 /**
  * A controller's part in the registers: rewritable single-value registers without a log, after CASPaxos (Rystsov,
- * "CASPaxos: Replicated State Machines without logs"). Wires the proposer, the acceptor and what stands between them, and
- * answers the other controllers' requests. Confined to the event loop.
+ * "CASPaxos: Replicated State Machines without logs"). Wires the proposer, the acceptor and what stands between them,
+ * and answers the other controllers' requests. Confined to the event loop.
  */
 public final class RegisterService {
     /** Registers in one message to a new voter. */
@@ -62,6 +62,7 @@
         clock.scheduleRepeatedly(timings.memoryExpiryIntervalMs(), registers::expire);
     }
 
+    /** Reads and changes registers. */
     public RegisterProposer proposer() {
         return proposer;
     }
@@ -76,7 +77,9 @@
         return synchronizer.isSynced();
     }
 
-    /** Reads the registers of the other voters where this one is new. To be called now and then, and when voters change. */
+    /**
+     * Reads the registers of the other voters where this one is new. To be called now and then, and when voters change.
+     */
     public void sync() {
         synchronizer.sync();
     }
--- a/src/main/java/bramblespool/coordination/register/RegisterState.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterState.java
@@ -1,8 +1,8 @@
 package bramblespool.coordination.register;
 
 /**
- * One register as an acceptor holds it: the highest number it has promised, and what it has accepted under which number.
- * {@link RegisterTable} owns and changes it.
+ * One register as an acceptor holds it: the highest number it has promised, and what it has accepted under which
+ * number. {@link RegisterTable} owns and changes it.
  */
 final class RegisterState {
     /** Stands for a register of which nothing is known. */
--- a/src/main/java/bramblespool/coordination/register/RegisterSynchronizer.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterSynchronizer.java
@@ -26,7 +26,9 @@
     private final PeerTransport transport;
     private final long pageTimeoutMs;
     private final EventLog log;
-    /** The log index, of those since which this controller has been a voter, for which it has last read all registers. */
+    /**
+     * The log index, of those since which this controller has been a voter, for which it has last read all registers.
+     */
     private long syncedSince;
 
     private boolean isSyncing;
@@ -52,7 +54,9 @@
         }
     }
 
-    /** Whether this voter holds all that the voters before it held: a founder does, another one has to read it first. */
+    /**
+     * Whether this voter holds all that the voters before it held: a founder does, another one has to read it first.
+     */
     boolean isSynced() {
         return voters.isSelfVoter() && (voters.isSelfFoundingVoter() || syncedSince == voters.selfVoterSince());
     }
--- a/src/main/java/bramblespool/coordination/register/RegisterTable.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterTable.java
@@ -24,7 +24,8 @@
     private final ArrayDeque<Expiry> expiries = new ArrayDeque<>();
 
     /**
-     * What was stored is retained for a whole retention time from now, since nobody knows how long this process was away.
+     * What was stored is retained for a whole retention time from now, since nobody knows how long this process was
+     * away.
      */
     RegisterTable(Clock clock, long retentionMs, List<StoredRegister> storedRegisters) {
         this.clock = clock;
