--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -25,6 +25,7 @@
 import bramblespool.coordination.singleton.UsageReporter;
 import bramblespool.coordination.tenancy.AdmissionClient;
 import bramblespool.coordination.tenancy.IdempotencyTable;
+import bramblespool.coordination.tenancy.LeaseTimings;
 import bramblespool.coordination.tenancy.ShardLeases;
 import bramblespool.coordination.tenancy.TenantRateLimiter;
 import bramblespool.coordination.traffic.OverloadDetector;
@@ -199,8 +200,7 @@
                 memberId,
                 clock,
                 transport,
-                bounds.quietPeriodMs(),
-                registerRetentionMs,
+                LeaseTimings.of(bounds.quietPeriodMs(), registerRetentionMs),
                 log);
         this.rateLimiter = new TenantRateLimiter(
                 clock, bounds.rateLimitWindowMs(), bounds.rateLimitExcess(), bounds.rateLimitAllowance());
--- a/src/test/java/bramblespool/coordination/tenancy/TenantsOfOneShard.java
+++ b/src/test/java/bramblespool/coordination/tenancy/TenantsOfOneShard.java
@@ -6,7 +6,7 @@
 public final class TenantsOfOneShard {
     private TenantsOfOneShard() {}
 
-    /** Another tenant in the slice of that one: whoever owns the one's bucket owns the other's. */
+    /** Another tenant in the shard of that one: whoever owns the one's bucket owns the other's. */
     public static String sharingShardWith(String tenant) {
         return IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "near" + i)
