--- a/src/test/java/bramblespool/coordination/tenancy/LeaseRoundTrip.java
+++ b/src/test/java/bramblespool/coordination/tenancy/LeaseRoundTrip.java
@@ -6,10 +6,12 @@
 public final class LeaseRoundTrip {
     private LeaseRoundTrip() {}
 
+    /** A request of this message kind. */
     public static JsonNode request(String kind, JsonNode request) {
         return LeaseCodec.encode(LeaseCodec.decode(kind, request));
     }
 
+    /** A voter's answer. */
     public static JsonNode reply(JsonNode answer) {
         return LeaseCodec.encodeReply(LeaseCodec.decodeReply(answer));
     }
