--- a/src/test/java/bramblespool/coordination/tenancy/HeldLeaseTest.java
+++ b/src/test/java/bramblespool/coordination/tenancy/HeldLeaseTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.state.EventLog;
+import bramblespool.state.ReplicatedEntry;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.VoterSet;
 import bramblespool.testing.FakeClock;
 import bramblespool.testing.FakeTransport;
 import bramblespool.testing.FakeTransport.Call;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -27,9 +27,8 @@
 
     @BeforeEach
     void setVoters() {
-        ObjectNode entry = new ObjectMapper().createObjectNode().put("k", "members");
-        entry.putArray("voters").add("a:1#0").add("b:1#0").add("c:1#0");
-        replicatedState.apply(1, entry);
+        VoterSet voterSet = VoterSet.decode(List.of("a:1#0", "b:1#0", "c:1#0"));
+        replicatedState.apply(1, new ReplicatedEntry.VotersChanged(voterSet));
     }
 
     private List<Call> renew() {
