--- a/src/main/java/bramblespool/coordination/controller/GroupMember.java
+++ b/src/main/java/bramblespool/coordination/controller/GroupMember.java
@@ -4,6 +4,7 @@
 import bramblespool.coordination.register.RegisterTimings;
 import bramblespool.coordination.register.RegisterVoters;
 import bramblespool.coordination.tenancy.IdempotencyTable;
+import bramblespool.coordination.tenancy.LeaseTimings;
 import bramblespool.coordination.tenancy.ShardLeases;
 import bramblespool.raft.RaftNode;
 import bramblespool.raft.RaftOptions;
@@ -70,8 +71,7 @@
                 identity.memberId(),
                 context.clock(),
                 context.transport(),
-                settings.bounds().quietPeriodMs(),
-                registerRetentionMs(settings),
+                LeaseTimings.of(settings.bounds().quietPeriodMs(), registerRetentionMs(settings)),
                 context.log());
     }
 
