--- a/src/main/java/bramblespool/raft/ChunkHandler.java
+++ b/src/main/java/bramblespool/raft/ChunkHandler.java
@@ -57,7 +57,7 @@
                         callback));
     }
 
-    /** Adds a chunk; the whole once it is complete, and else empty after the leader was told how much is here. */
+    /** Adds a chunk; the whole once it is complete, else empty, and the leader is answered how much is here. */
     private Optional<String> assemble(
             RaftRequest.LeaderHeader header, RaftRequest.Chunk chunk, long index, Consumer<RaftResponse> callback) {
         ChunkAssembler current = assembler
--- a/src/main/java/bramblespool/raft/FollowerWriter.java
+++ b/src/main/java/bramblespool/raft/FollowerWriter.java
@@ -12,6 +12,9 @@
  * event loop.
  */
 final class FollowerWriter {
+    /** Ratio to the heartbeat's interval of the time after which it answers without the disk. */
+    private static final int EARLY_RESPONSE_DIVISOR = 2;
+
     private final RaftContext context;
     private final QuorumState quorum;
     private final RaftLog raftLog;
@@ -79,7 +82,8 @@
         }
 
         void startTimer() {
-            earlyResponseTimer = context.clock().schedule(context.timeouts().heartbeatMs() / 2, this::respondEarly);
+            earlyResponseTimer = context.clock()
+                    .schedule(context.timeouts().heartbeatMs() / EARLY_RESPONSE_DIVISOR, this::respondEarly);
         }
 
         void onDurable() {
--- a/src/main/java/bramblespool/raft/LeaderRequests.java
+++ b/src/main/java/bramblespool/raft/LeaderRequests.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /**
- * A leader's requests to a follower: what each carries, and what any answer tells before the request's own part of it
+ * A leader's requests to a follower: what each carries, and what any answer reports before the request's own part of it
  * is looked at. Confined to the event loop.
  */
 final class LeaderRequests {
--- a/src/main/java/bramblespool/raft/LogEntryCodec.java
+++ b/src/main/java/bramblespool/raft/LogEntryCodec.java
@@ -39,7 +39,7 @@
         return entry.toString();
     }
 
-    /** Whether the entry names voters; told from its first characters alone, as this is asked of whole logs. */
+    /** Whether the entry names voters. Looks at its first characters alone, as this is asked of whole logs. */
     static boolean isVotersEntry(String entry) {
         return entry.startsWith(VOTERS_ENTRY_PREFIX);
     }
--- a/src/main/java/bramblespool/raft/LogReplicator.java
+++ b/src/main/java/bramblespool/raft/LogReplicator.java
@@ -109,7 +109,7 @@
         chooseTransfer(follower);
         // Whoever is silent is first asked whether it is there.
         boolean isSilent =
-                context.nowMs() - follower.lastContactMs() > context.timeouts().electionMs() * 2;
+                context.nowMs() - follower.lastContactMs() > context.timeouts().contactMs();
         LeaderHeader header = requests.newHeader(leader, follower);
         if (follower.transfer().isPresent()) {
             ChunkedTransfer transfer = follower.transfer().get();
@@ -252,7 +252,7 @@
         });
     }
 
-    /** Sends one request; what any answer tells is taken before what this one does. */
+    /** Sends one request; what any answer reports is handled before what this one does. */
     private void send(
             LeaderState leader,
             FollowerProgress follower,
--- a/src/main/java/bramblespool/raft/QuorumState.java
+++ b/src/main/java/bramblespool/raft/QuorumState.java
@@ -148,9 +148,9 @@
         return isLeader() || hasHeardLeaderWithin(context.timeouts().electionMs());
     }
 
-    /** Whether this member leads and is ready to, or has heard from the leader within twice an election's time. */
+    /** Whether this member leads and is ready to, or the leader has been in contact lately. */
     boolean hasLeaderContact() {
-        return isReadyLeader() || hasHeardLeaderWithin(context.timeouts().electionMs() * 2);
+        return isReadyLeader() || hasHeardLeaderWithin(context.timeouts().contactMs());
     }
 
     private boolean hasHeardLeaderWithin(long durationMs) {
--- a/src/main/java/bramblespool/raft/RaftMessageCodec.java
+++ b/src/main/java/bramblespool/raft/RaftMessageCodec.java
@@ -59,7 +59,7 @@
     private static final String TOTAL_CHARS = "size";
     private static final String OFFSET = "offset";
     private static final String VOTERS = "voters";
-    /** Present in chunks of an entry only: it tells them from chunks of a snapshot. */
+    /** Present in chunks of an entry only: it distinguishes them from chunks of a snapshot. */
     private static final String ENTRY_TERM = "entryTerm";
 
     // Transfer of leadership, leave, join
--- a/src/main/java/bramblespool/raft/RaftNode.java
+++ b/src/main/java/bramblespool/raft/RaftNode.java
@@ -29,10 +29,6 @@
     private static final char INCARNATION_SEPARATOR = '#';
     private static final long FOUNDING_INDEX = 1;
     private static final long FOUNDING_TERM = 0;
-    /**
-     * Ratio to the election time within which a majority must have answered, or the leader steps down (section 6.2).
-     */
-    private static final int CHECK_QUORUM_RATIO = 2;
     /** Ticks in a heartbeat's interval. */
     private static final int TICKS_PER_HEARTBEAT = 2;
     /** The least part of a tick's interval after which one that does not lead ticks again. */
@@ -141,7 +137,7 @@
 
     /**
      * Prepares this member's end: it starts no more elections, hands over the lead, and asks the next leader to be
-     * removed. {@link #hasLeft} tells when it may end.
+     * removed. {@link #hasLeft} says when it may end.
      */
     public void leave() {
         localMembership.leave();
@@ -271,7 +267,7 @@
 
     /** The addresses of the voters that answer this leader, its own among them. */
     public List<String> liveMemberAddresses() {
-        long withinMs = context.timeouts().electionMs() * CHECK_QUORUM_RATIO;
+        long withinMs = context.timeouts().contactMs();
         List<String> addresses = new ArrayList<>();
         for (String voter : voters()) {
             if (context.isLocal(voter)
@@ -355,12 +351,13 @@
         }
     }
 
+    /** A leader that has lost its disk or the majority steps down (check-quorum, section 6.2). */
     private void leaderTick(LeaderState leader, long nowMs) {
         if (!storage.isHealthy()) {
             roles.stepDown(quorum.currentTerm(), "disk");
             return;
         }
-        long sinceMs = nowMs - context.timeouts().electionMs() * CHECK_QUORUM_RATIO;
+        long sinceMs = nowMs - context.timeouts().contactMs();
         if (!voterSet().hasMajority(voter -> context.isLocal(voter) || leader.hasContactSince(voter, sinceMs))) {
             roles.stepDown(quorum.currentTerm(), "no quorum");
             return;
--- a/src/main/java/bramblespool/raft/RaftRequest.java
+++ b/src/main/java/bramblespool/raft/RaftRequest.java
@@ -59,7 +59,7 @@
     record Identity(String recipientId, String leaderId, long term) {}
 
     /**
-     * RequestVote (Raft dissertation, figure 3.1), or its rehearsal (section 9.6).
+     * RequestVote (Raft dissertation, figure 3.1), or the pre-vote that precedes it (section 9.6).
      *
      * @param term the term for which the candidate asks, which in a pre-vote it has not entered yet
      * @param isLeadershipTransfer whether the last leader asked for this election, so that it need not be silent first
--- a/src/main/java/bramblespool/raft/RaftTimeouts.java
+++ b/src/main/java/bramblespool/raft/RaftTimeouts.java
@@ -17,6 +17,16 @@
     private static final int REQUEST_DIVISOR = 8;
     /** Ratio to the time within which a member has to catch up. */
     private static final int ABSENCE_DIVISOR = 4;
+    /** Ratio to the election time. */
+    private static final int CONTACT_RATIO = 2;
+
+    /**
+     * Within so long of its last answer a member counts as in contact; a leader without a majority in contact steps
+     * down.
+     */
+    long contactMs() {
+        return electionMs * CONTACT_RATIO;
+    }
 
     /** The durations that follow from the settings' bounds. */
     public static RaftTimeouts of(long quietPeriodMs, long catchUpMs) {
--- a/src/main/java/bramblespool/raft/StateDigests.java
+++ b/src/main/java/bramblespool/raft/StateDigests.java
@@ -109,7 +109,7 @@
             if (digest != null) {
                 digests.put(voter, digest);
             } else if (leader.hasRecentContact(
-                    voter, context.nowMs(), context.timeouts().electionMs() * 2)) {
+                    voter, context.nowMs(), context.timeouts().contactMs())) {
                 hasAllDigests = false;
             }
         }
