--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -1,5 +1,10 @@
 package bramblespool.coordination.controller;
 
+import bramblespool.coordination.configuration.PhaseCodec;
+import bramblespool.coordination.configuration.PhaseDispatcher;
+import bramblespool.coordination.configuration.PhaseRelay;
+import bramblespool.coordination.configuration.PhaseTimeouts;
+import bramblespool.coordination.configuration.PingCodec;
 import bramblespool.coordination.configuration.ShadowCommitCoordinator;
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.RegistryReader;
@@ -9,6 +14,13 @@
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.register.RegisterProposer;
 import bramblespool.coordination.register.RegisterResult;
+import bramblespool.coordination.register.RegisterService;
+import bramblespool.coordination.register.RegisterTimings;
+import bramblespool.coordination.register.RegisterVoters;
+import bramblespool.coordination.singleton.ControllerPeers;
+import bramblespool.coordination.singleton.FencingTokenCodec;
+import bramblespool.coordination.singleton.FencingTokenRenewal;
+import bramblespool.coordination.singleton.SingletonRoleKeys;
 import bramblespool.coordination.singleton.SingletonRoles;
 import bramblespool.coordination.singleton.UsageReporter;
 import bramblespool.coordination.tenancy.AdmissionClient;
@@ -27,7 +39,10 @@
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
@@ -40,9 +55,9 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -61,10 +76,6 @@
     private static final int REGISTRY_READ_DIVISOR = 4;
     /** Rounds of duties within one renewal. */
     private static final int ROLE_CHECKS_PER_RENEWAL = 4;
-    /** Key of the duty of reading a zone's list. */
-    private static final String REGISTRY_ROLE_PREFIX = "list/";
-    /** Key of the duty of leasing out a service's retry slack. */
-    private static final String RETRY_BUDGET_ROLE_PREFIX = "slack/";
 
     private static final int MAX_REQUESTED_ROLES = 1000;
     /** Ratio to {@code quiet} of the lateness from which a helm counts as not keeping up. */
@@ -90,6 +101,7 @@
     private final GossipStore gossip;
     private final RaftNode raft;
     private final ShadowCommitCoordinator commitCoordinator;
+    private final RegisterService registers;
     private final RegisterProposer registerProposer;
     private final TenantRateLimiter rateLimiter;
     private final ShardLeases shardLeases;
@@ -99,7 +111,7 @@
     private final UsageReporter usageReporter;
 
     private boolean isAnnouncedAsVoter;
-    private final TermGuard termGuard;
+    private final PhaseRelay phaseRelay;
     /** Owners of slices that did not answer, and when. */
     private final Map<String, Long> unresponsiveSinceMs = new HashMap<>();
 
@@ -108,6 +120,7 @@
     private final Map<String, Long> publishedEvacuations = new HashMap<>();
     private final long callTimeoutMs;
     private final SingletonRoles singletonRoles;
+    private final FencingTokenRenewal tokenRenewal;
     private final OverloadDetector overloadDetector;
     private final RetryBudgetLeases retryBudgetLeases;
     /** Keys of duties that somebody has asked for; only these need a holder. */
@@ -133,7 +146,6 @@
         this.log = log;
         Settings.Bounds bounds = settings.bounds();
         this.callTimeoutMs = bounds.quietPeriodMs() / CALL_TIMEOUT_DIVISOR;
-        this.termGuard = new TermGuard(log);
         this.gossip = new GossipStore(
                 clock,
                 transport,
@@ -164,9 +176,8 @@
                 });
         gossip.registerOwnKey(GossipKeys.CONTROLLER_KEY_PREFIX + settings.node(), this::publishSelf);
         gossip.addListener(this::onGossipEntry);
-        this.hasFreshStore =
-                durableStore.load() == null && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
-        if (durableStore.load() == null) {
+        this.hasFreshStore = durableStore.isEmpty() && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
+        if (durableStore.isEmpty()) {
             List<String> founders =
                     settings.seedPeers().stream().map(settings::peerAddressOf).toList();
             boolean isFounder = hasFreshStore && founders.contains(settings.peerAddress());
@@ -177,17 +188,14 @@
         DurableStore.PersistentState savedState = durableStore.load();
         String memberId = settings.peerAddress() + "#" + savedState.incarnation();
         long registerRetentionMs = IdempotencyTable.retentionMs(bounds.idempotencyKeyWindowMs());
-        this.registerProposer = new RegisterProposer(
-                replicatedState,
-                memberId,
-                settings.tolerableMachineLosses() + 1,
+        this.registers = new RegisterService(
+                new RegisterVoters(replicatedState, memberId, settings.tolerableMachineLosses() + 1),
                 durableStore,
                 clock,
                 transport,
-                bounds.applyMs() / REGISTER_BATCH_DIVISOR,
-                callTimeoutMs / 2,
-                registerRetentionMs,
+                new RegisterTimings(bounds.applyMs() / REGISTER_BATCH_DIVISOR, callTimeoutMs / 2, registerRetentionMs),
                 log);
+        this.registerProposer = registers.proposer();
         this.shardLeases = new ShardLeases(
                 replicatedState,
                 registerProposer,
@@ -212,13 +220,15 @@
                 durableStore,
                 this,
                 log);
+        this.phaseRelay = new PhaseRelay(transport, new TermGuard(log), raft::leaderTerm, this::openSessionAddress);
         this.commitCoordinator = new ShadowCommitCoordinator(
                 raft,
                 replicatedState,
-                this::runPhase,
+                new PhaseDispatcher(
+                        transport, settings.peerAddress(), phaseRelay, this::controllerOfProxy, raft::observeTerm),
                 () -> new HashSet<>(members),
                 clock,
-                ShadowCommitCoordinator.PhaseTimeouts.of(bounds.acknowledgementMs(), bounds.applyMs()),
+                PhaseTimeouts.of(bounds.acknowledgementMs(), bounds.applyMs()),
                 log);
         if (platform != null && settings.discovery() == Settings.Discovery.PLATFORM) {
             for (String zone : settings.zones().keySet()) {
@@ -236,24 +246,18 @@
             }
         }
         this.retryBudgetLeases = new RetryBudgetLeases(clock, bounds.retryAllowance(), bounds.retryWindowMs());
-        this.singletonRoles = new SingletonRoles(raft, replicatedState, this::roleKeys, UsageReporter.ROLE_KEY::equals);
+        this.singletonRoles =
+                new SingletonRoles(raft, replicatedState, this::roleKeys, SingletonRoleKeys.USAGE::equals);
+        this.tokenRenewal = new FencingTokenRenewal(raft, singletonRoles, transport, callTimeoutMs / 2, log);
         this.usageReporter = platform == null || settings.usageReporting() == null
                 ? null
                 : new UsageReporter(
                         settings,
                         hasFreshStore,
-                        clock,
-                        transport,
-                        platform,
-                        raft,
-                        replicatedState,
-                        singletonRoles,
-                        registerProposer,
-                        gossip,
-                        this::otherControllers,
-                        () -> members,
-                        callTimeoutMs / 2,
-                        log);
+                        new UsageReporter.Environment(clock, platform, log),
+                        new UsageReporter.Replication(raft, replicatedState, tokenRenewal, registerProposer, gossip),
+                        new ControllerPeers(transport, this::otherControllers, callTimeoutMs / 2),
+                        () -> members);
         this.overloadDetector = new OverloadDetector(clock, bounds.quietPeriodMs() / LATENESS_DIVISOR, log);
     }
 
@@ -262,7 +266,7 @@
         publishSelf();
         raft.start();
         overloadDetector.start();
-        registerProposer.start();
+        registers.start();
         shardLeases.start();
         if (usageReporter != null) {
             usageReporter.start();
@@ -270,7 +274,7 @@
         clock.execute(this::join);
         clock.scheduleRepeatedly(renewalMs, () -> {
             closeExpiredSessions();
-            registerProposer.sync();
+            registers.sync();
             if (isAnnouncedAsVoter != replicatedState.voterSinceIndexes().containsKey(raft.localId())) {
                 publishSelf();
             }
@@ -291,10 +295,10 @@
     /** The duties there are: those the log knows, and those that were asked for since. */
     private Set<String> roleKeys() {
         Set<String> keys = new TreeSet<>(replicatedState.singletonRoles().keySet());
-        registryReaders.keySet().forEach(zone -> keys.add(REGISTRY_ROLE_PREFIX + zone));
+        registryReaders.keySet().forEach(zone -> keys.add(SingletonRoleKeys.REGISTRY_PREFIX + zone));
         keys.addAll(requestedRoles);
         if (usageReporter != null) {
-            keys.add(UsageReporter.ROLE_KEY);
+            keys.add(SingletonRoleKeys.USAGE);
         }
         return keys;
     }
@@ -302,12 +306,13 @@
     /** Leases tries of a service's slack: as its owner, or by asking the owner, or the leader to name one. */
     private void grantRetryLease(JsonNode request, Consumer<ObjectNode> callback) {
         String service = request.path("service").asText();
-        ReplicatedState.SingletonRole role = replicatedState.singletonRoles().get(RETRY_BUDGET_ROLE_PREFIX + service);
+        ReplicatedState.SingletonRole role =
+                replicatedState.singletonRoles().get(SingletonRoleKeys.RETRY_BUDGET_PREFIX + service);
         String owner =
                 role == null ? raft.leaderId() == null ? null : RaftNode.addressOf(raft.leaderId()) : role.owner();
         if (settings.peerAddress().equals(owner)) {
             if (role == null && requestedRoles.size() < MAX_REQUESTED_ROLES) {
-                requestedRoles.add(RETRY_BUDGET_ROLE_PREFIX + service);
+                requestedRoles.add(SingletonRoleKeys.RETRY_BUDGET_PREFIX + service);
             }
             callback.accept(JsonNodeFactory.instance
                     .objectNode()
@@ -447,11 +452,12 @@
         boolean hasLeader = raft.hasLeaderContact();
         registryReaders.forEach((zone, reader) -> {
             ReplicatedState.SingletonRole role =
-                    replicatedState.singletonRoles().get(REGISTRY_ROLE_PREFIX + zone);
+                    replicatedState.singletonRoles().get(SingletonRoleKeys.REGISTRY_PREFIX + zone);
             reader.setOwnership(
                     hasLeader && !isLeaving && role != null && role.owner().equals(settings.peerAddress()),
                     role == null ? 0 : role.fencingToken());
-            reader.setLeaderless(!hasLeader && !isLeaving && isSuccessionCandidate(REGISTRY_ROLE_PREFIX + zone));
+            reader.setLeaderless(
+                    !hasLeader && !isLeaving && isSuccessionCandidate(SingletonRoleKeys.REGISTRY_PREFIX + zone));
             reader.check();
         });
     }
@@ -509,6 +515,11 @@
         return registerProposer;
     }
 
+    /** This controller's part in the registers. */
+    public RegisterService registers() {
+        return registers;
+    }
+
     private void publishSelf() {
         isAnnouncedAsVoter = replicatedState.voterSinceIndexes().containsKey(raft == null ? "" : raft.localId());
         gossip.publish(JsonNodeFactory.instance
@@ -632,106 +643,16 @@
         });
     }
 
-    // ---- phases, through the cells
+    // ---- phases, by way of the zone controllers
 
-    private void runPhase(
-            ObjectNode message,
-            Set<String> proxies,
-            long timeoutMs,
-            Consumer<ShadowCommitCoordinator.Acknowledgements> callback) {
-        ShadowCommitCoordinator.Acknowledgements acknowledgements =
-                new ShadowCommitCoordinator.Acknowledgements(new HashSet<>(), new HashSet<>());
-        if (proxies.isEmpty()) {
-            callback.accept(acknowledgements);
-            return;
-        }
-        Map<String, Set<String>> proxiesByController = new HashMap<>();
-        for (String proxy : proxies) {
-            GossipStore.GossipEntry entry = gossip.get(GossipKeys.SESSION_KEY_PREFIX + proxy);
-            if (entry != null) {
-                proxiesByController
-                        .computeIfAbsent(entry.body().path("helm").asText(), k -> new LinkedHashSet<>())
-                        .add(proxy);
-            }
-        }
-        int[] pending = {proxiesByController.size()};
-        boolean[] isFinished = {false};
-        Runnable finish = () -> {
-            if (!isFinished[0]) {
-                isFinished[0] = true;
-                callback.accept(acknowledgements);
-            }
-        };
-        Consumer<JsonNode> onResponse = response -> {
-            if (response != null) {
-                response.path("ok").forEach(n -> acknowledgements.confirmed().add(n.asText()));
-                response.path("refused")
-                        .forEach(n -> acknowledgements.rejected().add(n.asText()));
-                raft.observeTerm(response.path("term").asLong());
-            }
-            if (--pending[0] == 0) {
-                finish.run();
-            }
-        };
-        proxiesByController.forEach((controller, proxyNodes) -> {
-            ObjectNode controllerMessage = message.deepCopy();
-            ArrayNode proxyList = controllerMessage.putArray("wefts");
-            proxyNodes.forEach(proxyList::add);
-            controllerMessage.put("within", timeoutMs * 4 / 5);
-            if (controller.equals(settings.peerAddress())) {
-                relayPhase(controllerMessage, onResponse::accept);
-            } else {
-                transport.call(controller, "cell", controllerMessage, timeoutMs, onResponse);
-            }
-        });
+    private Optional<String> openSessionAddress(String node) {
+        Session session = sessions.get(node);
+        return session != null && session.isOpen ? Optional.of(session.peerAddress) : Optional.empty();
     }
 
-    /** The cell's part: hands the phase to its wefts and gathers their answers. */
-    private void relayPhase(JsonNode request, Consumer<ObjectNode> callback) {
-        ObjectNode response = JsonNodeFactory.instance.objectNode();
-        ArrayNode confirmed = response.putArray("ok");
-        ArrayNode rejected = response.putArray("refused");
-        termGuard.observeTerm(raft.leaderTerm());
-        if (!termGuard.acceptMessage("cell", request)) {
-            callback.accept(response.put("term", termGuard.highestTerm()));
-            return;
-        }
-        ObjectNode phaseMessage = ((ObjectNode) request).deepCopy();
-        phaseMessage.remove(List.of("wefts", "within"));
-        int[] pending = {1};
-        Runnable onResponse = () -> {
-            if (--pending[0] == 0) {
-                callback.accept(response);
-            }
-        };
-        for (JsonNode proxy : request.path("wefts")) {
-            Session session = sessions.get(proxy.asText());
-            if (session == null || !session.isOpen) {
-                continue;
-            }
-            pending[0]++;
-            transport.call(
-                    session.peerAddress,
-                    "phase",
-                    phaseMessage,
-                    request.path("within").asLong(),
-                    proxyResponse -> {
-                        if (proxyResponse != null && proxyResponse.path("ok").asBoolean()) {
-                            confirmed.add(proxy.asText());
-                        } else if (proxyResponse != null
-                                && proxyResponse.path("refused").asBoolean()) {
-                            rejected.add(proxy.asText());
-                        }
-                        if (proxyResponse != null
-                                && proxyResponse.path("term").asLong()
-                                        > request.path("term").asLong()) {
-                            termGuard.observeTerm(proxyResponse.path("term").asLong());
-                            response.put("term", termGuard.highestTerm());
-                        }
-                        onResponse.run();
-                    });
-        }
-        onResponse.run();
+    private Optional<String> controllerOfProxy(String node) {
+        return Optional.ofNullable(gossip.get(GossipKeys.SESSION_KEY_PREFIX + node))
+                .map(entry -> entry.body().path("helm").asText());
     }
 
     // ---- what is agreed
@@ -739,30 +660,30 @@
     @Override
     public void apply(long index, String entry) {
         long previousVotersChangedIndex = replicatedState.votersChangedIndex();
-        replicatedState.apply(index, ReplicatedState.parse(entry));
+        replicatedState.apply(index, ReplicatedEntryCodec.decode(entry));
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
-            clock.execute(registerProposer::sync);
+            clock.execute(registers::sync);
             shardLeases.onVotersChanged();
         }
     }
 
     @Override
     public String snapshot() {
-        return replicatedState.snapshot().toString();
+        return ReplicatedStateSnapshotCodec.encode(replicatedState.snapshot());
     }
 
     @Override
     public void restore(String snapshot) {
-        replicatedState.restore(ReplicatedState.parse(snapshot));
+        replicatedState.restore(ReplicatedStateSnapshotCodec.decode(snapshot));
         shardLeases.onVotersChanged();
         schedulePublish();
     }
 
     @Override
     public boolean isSynced() {
-        return registerProposer.isSynced();
+        return registers.isSynced();
     }
 
     @Override
@@ -832,7 +753,7 @@
             callback.accept(OperatorRequest.Result.unknown("not the leader"));
             return;
         }
-        commitCoordinator.submit(change, callback);
+        commitCoordinator.submit(change, outcome -> callback.accept(outcome.toResult()));
     }
 
     public void evacuate(String zone, boolean isEvacuated, Consumer<Boolean> callback) {
@@ -845,10 +766,7 @@
             return;
         }
         raft.propose(
-                ReplicatedState.entry("evac")
-                        .put("zone", zone)
-                        .put("on", isEvacuated)
-                        .toString(),
+                ReplicatedEntryCodec.encode(new ReplicatedEntry.EvacuationChanged(zone, isEvacuated)),
                 outcome -> callback.accept(outcome == ProposalOutcome.COMMITTED));
     }
 
@@ -863,7 +781,7 @@
     @Override
     public void handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
         if (raft.handleRequest(kind, request, callback)
-                || registerProposer.handleRequest(kind, request, callback)
+                || registers.handleRequest(kind, request, callback)
                 || shardLeases.handleRequest(kind, request, callback)
                 || usageReporter != null && usageReporter.handleRequest(kind, request, callback)) {
             return;
@@ -881,12 +799,12 @@
             case "lease" -> grantRetryLease(request, callback);
             case "admit" -> admit(request, callback);
             case "token" -> callback.accept(takeToken(request));
-            case "raise" -> callback.accept(raiseFencingToken(request));
-            case "cell" -> relayPhase(request, callback);
+            case FencingTokenCodec.KIND -> tokenRenewal.handleRequest(request, callback);
+            case PhaseCodec.RELAY_KIND -> phaseRelay.handleRequest(request, callback);
             case "doc" ->
                 callback.accept(findDocument(
                         request.path("epoch").asLong(), request.path("stamp").asText()));
-            case "ping" -> callback.accept(JsonNodeFactory.instance.objectNode().put("touch", isInTouchWithLeader()));
+            case PingCodec.KIND -> callback.accept(PingCodec.encodeControllerResponse(isInTouchWithLeader()));
             case "status" -> callback.accept(status());
             default -> {
                 log.logOnChange(Event.MESSAGE_DROPPED, kind, "kind", kind, "cause", "unknown");
@@ -895,19 +813,6 @@
         }
     }
 
-    /** A holder asks for a higher fence, and names the term in which it takes this helm for the leader. */
-    private ObjectNode raiseFencingToken(JsonNode request) {
-        long term = request.path("term").asLong();
-        raft.observeTerm(term);
-        if (term == raft.currentTerm()) {
-            singletonRoles.raiseFencingToken(
-                    request.path("key").asText(), request.path("fence").asLong());
-        } else {
-            log.log(Event.STALE_TERM_REJECTED, "kind", "raise", "term", term, "knownTerm", raft.currentTerm());
-        }
-        return JsonNodeFactory.instance.objectNode().put("term", raft.currentTerm());
-    }
-
     private ObjectNode findDocument(long epoch, String stamp) {
         for (ReplicatedState.Version version : List.of(replicatedState.current(), replicatedState.previous())) {
             if (version.epoch() == epoch
@@ -955,10 +860,10 @@
         ObjectNode roleOwners = status.putObject("duties");
         replicatedState.singletonRoles().forEach((key, role) -> roleOwners.put(key, role.owner()));
         status.put("slices", shardLeases.ownedCount()).put("slicesInAll", AdmissionClient.SHARD_COUNT);
-        status.put("registers", registerProposer.registerCount())
+        status.put("registers", registers.registerCount())
                 .put("rounds", registerProposer.proposalRounds())
                 .put("unsure", registerProposer.unknownOutcomes())
-                .put("settled", registerProposer.isSynced());
+                .put("settled", registers.isSynced());
         if (usageReporter != null) {
             status.set("usage", usageReporter.status());
         }
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -3,7 +3,9 @@
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.dataplane.DataPlaneNode;
 import bramblespool.state.DurableStore;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
@@ -211,9 +213,9 @@
     private static ReplicatedState replayed(DurableStore.PersistentState saved) {
         ReplicatedState replayedState = new ReplicatedState();
         if (saved.snapshot() != null && saved.snapshot().data() != null) {
-            replayedState.restore(parse(RaftView.snapshotState(saved.snapshot())));
+            replayedState.restore(ReplicatedStateSnapshotCodec.decode(RaftView.snapshotState(saved.snapshot())));
         }
-        saved.entries().forEach(e -> replayedState.apply(e.index(), parse(e.data())));
+        saved.entries().forEach(e -> replayedState.apply(e.index(), ReplicatedEntryCodec.decode(e.data())));
         return replayedState;
     }
 
@@ -229,17 +231,20 @@
 
     /** A disk is about to be lost: for a moment it counts among those that an entry had reached. */
     void onDiskWiped(Simulator.Machine machine) {
-        if (machine.disk.load() != null) {
+        if (!machine.disk.isEmpty()) {
             recentlyLostDisks.put(machine.disk.load(), mesh.simulator.nowMs());
         }
     }
 
     private List<DurableStore.PersistentState> disks() {
         List<DurableStore.PersistentState> out = new ArrayList<>();
-        mesh.simulator.machines().forEach(m -> out.add(m.disk.load()));
+        for (Simulator.Machine machine : mesh.simulator.machines()) {
+            if (!machine.disk.isEmpty()) {
+                out.add(machine.disk.load());
+            }
+        }
         recentlyLostDisks.values().removeIf(at -> mesh.simulator.nowMs() - at > LOST_DISK_GRACE_MS);
         out.addAll(recentlyLostDisks.keySet());
-        out.removeIf(s -> s == null);
         return out;
     }
 
@@ -285,14 +290,11 @@
                             RaftView.memberId(controller) + " goes back from " + previous + " to " + appliedIndex);
                 }
                 appliedByController.put(controller, appliedIndex);
-                JsonNode snapshot = controller.replicatedState().snapshot();
-                checkState(appliedIndex, snapshot.toString(), RaftView.memberId(controller));
-                Map<String, Long> versions = new LinkedHashMap<>();
-                snapshot.path("taken")
-                        .fields()
-                        .forEachRemaining(
-                                f -> versions.put(f.getKey(), f.getValue().asLong()));
-                history.recordCommitted(versions);
+                String state = ReplicatedStateSnapshotCodec.encode(
+                        controller.replicatedState().snapshot());
+                checkState(appliedIndex, state, RaftView.memberId(controller));
+                history.recordCommitted(new LinkedHashMap<>(
+                        controller.replicatedState().snapshot().configurations().committedDigests()));
                 checkStamp(controller.replicatedState().current());
                 checkStamp(controller.replicatedState().previous());
             }
@@ -348,7 +350,7 @@
             throw new InvariantViolation("SidesNeverGoBack", peer + " goes from " + previousVersion + " to " + version);
         }
         versionBySidecar.put(proxy, version);
-        if (version > 0 && !proxy.shadowCommit.realConfiguration().stamp.equals(stampByVersion.get(version))) {
+        if (version > 0 && !proxy.shadowCommit.realConfiguration().stamp().equals(stampByVersion.get(version))) {
             throw new InvariantViolation(
                     "SidesUseWhatIsAgreed", peer + " uses a version " + version + " that is not agreed");
         }
