--- a/src/test/java/bramblespool/raft/RaftTestContext.java
+++ b/src/test/java/bramblespool/raft/RaftTestContext.java
@@ -111,7 +111,7 @@
 
     @Override
     public boolean isEmpty() {
-        return false;
+        return true;
     }
 
     @Override
