--- a/src/main/java/bramblespool/state/Service.java
+++ b/src/main/java/bramblespool/state/Service.java
@@ -5,7 +5,8 @@
  *
  * @param name unique name
  * @param probePath path of the health check
- * @param maxConnections connections to one server, 0 for no limit of the service's own
+ * @param maxConnections connections to one server that the configuration allows, 0 where it sets none; read and not
+ *     enforced
  * @param slowStartMs how long a server that has just started is slow
  * @param slowStartRatePerSecond requests a second that a server can take at first
  * @param deduplicatesItself whether the service keeps its own record of idempotency keys
