--- a/src/test/java/bramblespool/raft/RaftTestContext.java
+++ b/src/test/java/bramblespool/raft/RaftTestContext.java
@@ -109,6 +109,11 @@
         return false;
     }
 
+    @Override
+    public boolean isEmpty() {
+        throw new UnsupportedOperationException();
+    }
+
     @Override
     public PersistentState load() {
         throw new UnsupportedOperationException();
