--- a/src/test/java/bramblespool/state/RoutingConfigurationValidatorTest.java
+++ b/src/test/java/bramblespool/state/RoutingConfigurationValidatorTest.java
@@ -26,7 +26,8 @@
                         + "routeTable[1].pathPrefix: same place as another route: X.example:80/p/; "
                         + "routeTable[2].pathPrefix: must begin and end with a slash: q",
                 faults(SERVICES + """
-                        "routeTable":{"columns":["name","authority","pathPrefix","routeClass","shares","target"],"rows":[
+                        "routeTable":{"columns":["name","authority","pathPrefix","routeClass","shares","target"],
+                        "rows":[
                         ["r","x.example","/p/","keyed",
                         [{"target":"desk","share":-1},{"target":"till","share":2}],null],
                         ["r","X.example:80","/p/","keyed",null,"desk"],
