--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -9,6 +9,7 @@
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.RegistryReader;
 import bramblespool.coordination.gossip.GossipKeys;
+import bramblespool.coordination.gossip.GossipPeers;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.membership.EndpointDirectory;
@@ -33,12 +34,16 @@
 import bramblespool.raft.LeadershipConfirmation;
 import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
+import bramblespool.raft.RaftOptions;
 import bramblespool.raft.RaftTimeouts;
 import bramblespool.raft.StateMachine;
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.EventLog.Event;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
@@ -143,12 +148,7 @@
         Settings.Bounds bounds = settings.bounds();
         this.callTimeoutMs = bounds.quietPeriodMs() / CALL_TIMEOUT_DIVISOR;
         this.gossip = new GossipStore(
-                clock,
-                transport,
-                callTimeoutMs,
-                bounds.drainMs() / GOSSIP_BATCH_DIVISOR,
-                true,
-                new GossipStore.GossipPeers() {
+                clock, transport, callTimeoutMs, bounds.drainMs() / GOSSIP_BATCH_DIVISOR, true, new GossipPeers() {
                     @Override
                     public List<String> pushTargets(GossipStore.Source source) {
                         // Whoever hears a thing first tells the other cells.
@@ -172,9 +172,8 @@
                 });
         gossip.registerOwnKey(GossipKeys.CONTROLLER_KEY_PREFIX + settings.node(), this::publishSelf);
         gossip.addListener(this::onGossipEntry);
-        this.hasFreshStore =
-                durableStore.load() == null && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
-        if (durableStore.load() == null) {
+        this.hasFreshStore = durableStore.isEmpty() && settings.isBootstrap() && !durableStore.hasQuarantinedDatabase();
+        if (durableStore.isEmpty()) {
             List<String> founders =
                     settings.seedPeers().stream().map(settings::peerAddressOf).toList();
             boolean isFounder = hasFreshStore && founders.contains(settings.peerAddress());
@@ -205,16 +204,17 @@
         this.rateLimiter = new TenantRateLimiter(
                 clock, bounds.rateLimitWindowMs(), bounds.rateLimitExcess(), bounds.rateLimitAllowance());
         this.raft = new RaftNode(
-                memberId,
-                settings.controlAddress(),
-                Math.max(1, settings.seedPeers().size()),
-                settings.tolerableMachineLosses(),
+                new RaftOptions(
+                        memberId,
+                        settings.controlAddress(),
+                        Math.max(1, settings.seedPeers().size()),
+                        settings.tolerableMachineLosses(),
+                        RaftTimeouts.of(bounds.quietPeriodMs(), bounds.catchUpMs())),
                 savedState,
                 clock,
                 transport,
                 durableStore,
                 this,
-                RaftTimeouts.of(bounds.quietPeriodMs(), bounds.catchUpMs()),
                 log);
         this.phaseRelay = new PhaseRelay(transport, new TermGuard(log), raft::leaderTerm, this::openSessionAddress);
         this.commitCoordinator = new ShadowCommitCoordinator(
@@ -656,7 +656,7 @@
     @Override
     public void apply(long index, String entry) {
         long previousVotersChangedIndex = replicatedState.votersChangedIndex();
-        replicatedState.apply(index, ReplicatedState.parse(entry));
+        replicatedState.apply(index, ReplicatedEntryCodec.decode(entry));
         schedulePublish();
         if (replicatedState.votersChangedIndex() != previousVotersChangedIndex) {
             // The group changes no further until whoever is new has read what the others hold.
@@ -667,12 +667,12 @@
 
     @Override
     public String snapshot() {
-        return replicatedState.snapshot().toString();
+        return ReplicatedStateSnapshotCodec.encode(replicatedState.snapshot());
     }
 
     @Override
     public void restore(String snapshot) {
-        replicatedState.restore(ReplicatedState.parse(snapshot));
+        replicatedState.restore(ReplicatedStateSnapshotCodec.decode(snapshot));
         shardLeases.onVotersChanged();
         schedulePublish();
     }
@@ -762,10 +762,7 @@
             return;
         }
         raft.propose(
-                ReplicatedState.entry("evac")
-                        .put("zone", zone)
-                        .put("on", isEvacuated)
-                        .toString(),
+                ReplicatedEntryCodec.encode(new ReplicatedEntry.EvacuationChanged(zone, isEvacuated)),
                 outcome -> callback.accept(outcome == ProposalOutcome.COMMITTED));
     }
 
@@ -790,7 +787,7 @@
             callback.accept(null);
             return;
         }
-        if (gossip.serve(kind, request, callback)) {
+        if (gossip.handleRequest(kind, request, callback)) {
             return;
         }
         switch (kind) {
