--- a/src/test/java/bramblespool/coordination/configuration/CandidateFactoryTest.java
+++ b/src/test/java/bramblespool/coordination/configuration/CandidateFactoryTest.java
@@ -7,6 +7,7 @@
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.state.CompressedDocument;
 import bramblespool.state.ReplicatedState;
+import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.testing.SimulatedMesh;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -27,7 +28,7 @@
                 .put("doc", CompressedDocument.compress(SimulatedMesh.document(5, 0, "p5")))
                 .put("digest", committed.digest());
         snapshot.putObject("taken").put(committed.digest(), 5);
-        replicatedState.restore(snapshot);
+        replicatedState.restore(ReplicatedStateSnapshotCodec.decode(snapshot.toString()));
     }
 
     private CandidateFactory.Evaluation evaluate(long epoch, long base) {
@@ -37,7 +38,7 @@
     @Test
     void changeOnTheVersionInForceIsACandidate() {
         CandidateFactory.Candidate candidate = assertInstanceOf(CandidateFactory.Candidate.class, evaluate(6, 5));
-        assertEquals(6, candidate.configuration().epoch);
+        assertEquals(6, candidate.configuration().epoch());
         assertTrue(candidates.decidedOutcome(SimulatedMesh.change(6, 5, "p6")).isEmpty());
     }
 
--- a/src/test/java/bramblespool/coordination/configuration/PhaseHandlerTest.java
+++ b/src/test/java/bramblespool/coordination/configuration/PhaseHandlerTest.java
@@ -6,6 +6,7 @@
 import bramblespool.state.EventLog;
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import org.junit.jupiter.api.BeforeEach;
@@ -25,19 +26,20 @@
         Simulator.Machine machine = new Simulator(1).machine("10.0.1.1:7000");
         machine.boot();
         participant = new ShadowCommitParticipant(machine, 1000, EventLog.silent());
-        participant.adopt(RoutingConfiguration.compile(SimulatedMesh.document(5, 0, "p5")), true);
+        participant.adopt(RoutingConfigurationParser.parse(SimulatedMesh.document(5, 0, "p5")), true);
         handler = new PhaseHandler(new TermGuard(EventLog.silent()), participant, () -> behindCount++);
-        candidate = RoutingConfiguration.compile(SimulatedMesh.document(7, 5, "p7"));
+        candidate = RoutingConfigurationParser.parse(SimulatedMesh.document(7, 5, "p7"));
     }
 
     private PhaseAcknowledgement send(CommitPhase phase, long term, long oldEpoch, String document) {
         PhaseMessage.CandidateDocument candidateDocument =
                 phase == CommitPhase.TAG_DISTRIBUTION ? new PhaseMessage.CandidateDocument(0, document) : null;
-        return handler.handle(new PhaseMessage(phase, term, ++round, oldEpoch, 7, candidate.stamp, candidateDocument));
+        return handler.handle(
+                new PhaseMessage(phase, term, ++round, oldEpoch, 7, candidate.stamp(), candidateDocument));
     }
 
     private PhaseAcknowledgement send(CommitPhase phase) {
-        return send(phase, TERM, 5, candidate.compressedDocument);
+        return send(phase, TERM, 5, candidate.compressedDocument());
     }
 
     @Test
@@ -65,7 +67,7 @@
     void candidateOnAnotherBaseIsNotRecorded() {
         assertEquals(
                 new PhaseAcknowledgement.NotApplied("behind"),
-                send(CommitPhase.TAG_DISTRIBUTION, TERM, 6, candidate.compressedDocument));
+                send(CommitPhase.TAG_DISTRIBUTION, TERM, 6, candidate.compressedDocument()));
         assertEquals(1, behindCount);
     }
 
@@ -80,7 +82,7 @@
         send(CommitPhase.TAG_DISTRIBUTION);
         assertEquals(
                 new PhaseAcknowledgement.StaleMessage(TERM),
-                send(CommitPhase.ABORT, TERM - 1, 5, candidate.compressedDocument));
+                send(CommitPhase.ABORT, TERM - 1, 5, candidate.compressedDocument()));
         assertEquals(new PhaseAcknowledgement.Applied(), send(CommitPhase.TAG_PACKET), "the tags are still there");
     }
 }
