--- a/src/main/java/bramblespool/coordination/controller/GroupMember.java
+++ b/src/main/java/bramblespool/coordination/controller/GroupMember.java
@@ -6,6 +6,7 @@
 import bramblespool.coordination.tenancy.IdempotencyTable;
 import bramblespool.coordination.tenancy.ShardLeases;
 import bramblespool.raft.RaftNode;
+import bramblespool.raft.RaftOptions;
 import bramblespool.raft.RaftTimeouts;
 import bramblespool.state.DurableStore;
 import bramblespool.state.ReplicatedState;
@@ -85,17 +86,19 @@
             ReplicatedStateMachine stateMachine) {
         Settings settings = context.local().settings();
         Settings.Bounds bounds = settings.bounds();
-        return new RaftNode(
+        RaftOptions options = new RaftOptions(
                 identity.memberId(),
                 settings.controlAddress(),
                 Math.max(1, settings.seedPeers().size()),
                 settings.tolerableMachineLosses(),
+                RaftTimeouts.of(bounds.quietPeriodMs(), bounds.catchUpMs()));
+        return new RaftNode(
+                options,
                 identity.state(),
                 context.clock(),
                 context.transport(),
                 durableStore,
                 stateMachine,
-                RaftTimeouts.of(bounds.quietPeriodMs(), bounds.catchUpMs()),
                 context.log());
     }
 
--- a/src/main/java/bramblespool/coordination/controller/ZoneGossip.java
+++ b/src/main/java/bramblespool/coordination/controller/ZoneGossip.java
@@ -1,6 +1,7 @@
 package bramblespool.coordination.controller;
 
 import bramblespool.coordination.gossip.GossipKeys;
+import bramblespool.coordination.gossip.GossipPeers;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.membership.EndpointDirectory;
 import bramblespool.coordination.traffic.OverloadDetector;
@@ -18,7 +19,7 @@
  * whoever learns a thing first tells the other zones. An overloaded controller lets anti-entropy wait. Confined to the
  * event loop.
  */
-final class ZoneGossip implements GossipStore.GossipPeers {
+final class ZoneGossip implements GossipPeers {
     /** Ratio to {@code drain} of the time for which received updates are gathered before they are passed on. */
     private static final int GOSSIP_BATCH_DIVISOR = 100;
     /** In this share of its rounds, anti-entropy goes to another controller rather than to a proxy. */
@@ -113,6 +114,6 @@
             callback.accept(null);
             return true;
         }
-        return store.serve(kind, body, callback);
+        return store.handleRequest(kind, body, callback);
     }
 }
--- a/src/test/java/bramblespool/coordination/controller/PeerMessageCodecsTest.java
+++ b/src/test/java/bramblespool/coordination/controller/PeerMessageCodecsTest.java
@@ -149,7 +149,12 @@
         ControllerStatus status = new ControllerStatus(
                 new ControllerStatus.Identity("helm-1", "a", "m#0"),
                 new ControllerStatus.Consensus(
-                        3, null, false, 12, List.of("m#0"), List.of(new MemberProgress("n#1", 1, 2, 3, 4, 5, 6, true))),
+                        3,
+                        null,
+                        false,
+                        12,
+                        List.of("m#0"),
+                        List.of(new MemberProgress("n#1", 1, 2, new MemberProgress.Transfer(3, 4), 5, 6, true))),
                 new ControllerStatus.Agreed(5, "MARKED", Set.of("weft-1"), Map.of("a", true), Map.of("list/a", "m")),
                 new ControllerStatus.Load(8, true),
                 new ControllerStatus.Tenancy(2, 9, 10, 11, true, Map.of("t", 13L)),
