--- a/src/main/java/bramblespool/cli/SelfTest.java
+++ b/src/main/java/bramblespool/cli/SelfTest.java
@@ -7,6 +7,7 @@
 import bramblespool.protocol.HeaderNames;
 import bramblespool.state.EventLog;
 import bramblespool.state.Settings;
+import bramblespool.state.SettingsParser;
 import bramblespool.transport.BodyStream;
 import bramblespool.transport.EventLoop;
 import bramblespool.transport.Listeners;
@@ -150,7 +151,7 @@
                 Listeners.listenerOptions(1 << 16, 1 << 20, 10_000, 10_000));
         String platformToml =
                 "[platform]\naddress = \"" + addressOf(8) + "\"\nduties = [\"metering\"]\ndutyPerS = 10.0\n";
-        Settings controllerSettings = Settings.parse(
+        Settings controllerSettings = SettingsParser.parse(
                 settingsToml(
                         "core",
                         "controller-1",
@@ -158,7 +159,7 @@
                         "dataDir = \"" + dataDirectory + "\"\n" + platformToml + "[listeners]\ncontrol = \""
                                 + addressOf(2) + "\""),
                 "self-test");
-        Settings sidecarSettings = Settings.parse(
+        Settings sidecarSettings = SettingsParser.parse(
                 settingsToml(
                         "sidecar",
                         "sidecar-1",
@@ -220,7 +221,7 @@
                                 + "\",\"epoch\":\"v1\",\"capacity\":4,\"state\":\"ready\",\"warmupLeft\":\"0ms\"}]},"
                                 + "\"nextToken\":null}"),
                 Listeners.listenerOptions(1 << 16, 1 << 20, 10_000, 10_000));
-        Settings controllerSettings = Settings.parse(
+        Settings controllerSettings = SettingsParser.parse(
                 settingsToml(
                                 "core",
                                 "controller-2",
@@ -229,7 +230,7 @@
                                         + GATEWAY_CONTROLLER_IP + ":" + reservedPorts[2] + "\"")
                         .replace(addressOf(2), GATEWAY_CONTROLLER_IP + ":" + reservedPorts[2]),
                 "self-test");
-        Settings gatewaySettings = Settings.parse(
+        Settings gatewaySettings = SettingsParser.parse(
                 settingsToml(
                                 "edge",
                                 "gateway-1",
--- a/src/main/java/bramblespool/coordination/configuration/CandidateFactory.java
+++ b/src/main/java/bramblespool/coordination/configuration/CandidateFactory.java
@@ -5,6 +5,7 @@
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import com.google.gson.JsonObject;
 import java.util.Optional;
 
@@ -50,12 +51,12 @@
         RoutingConfiguration candidate;
         try {
             JsonObject document = change.applyTo(currentConfiguration());
-            candidate = RoutingConfiguration.compile(document, CompressedDocument.compress(document.toString()));
+            candidate = RoutingConfigurationParser.parse(document, CompressedDocument.compress(document.toString()));
         } catch (InvalidConfigurationException e) {
             return new Decided(new ChangeOutcome.Invalid(e.getMessage()));
         }
         long currentEpoch = replicatedState.current().epoch();
-        if (candidate.epoch <= currentEpoch) {
+        if (candidate.epoch() <= currentEpoch) {
             return new Decided(new ChangeOutcome.Invalid("epoch: must be above " + currentEpoch));
         }
         return new Candidate(candidate);
@@ -72,8 +73,8 @@
         if (version.compressedDocument() == null) {
             return null;
         }
-        if (lastCompiled == null || lastCompiled.epoch != version.epoch()) {
-            lastCompiled = RoutingConfiguration.compileCompressed(version.compressedDocument());
+        if (lastCompiled == null || lastCompiled.epoch() != version.epoch()) {
+            lastCompiled = RoutingConfigurationParser.parseCompressed(version.compressedDocument());
         }
         return lastCompiled;
     }
--- a/src/main/java/bramblespool/coordination/configuration/PhaseTimeouts.java
+++ b/src/main/java/bramblespool/coordination/configuration/PhaseTimeouts.java
@@ -34,6 +34,6 @@
 
     /** The time limit of phase 1 for this candidate. */
     long distributeMs(RoutingConfiguration candidate) {
-        return distributeMs + candidate.routeCount * MS_PER_ROUTE;
+        return distributeMs + candidate.routeCount() * MS_PER_ROUTE;
     }
 }
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -25,6 +25,7 @@
 import bramblespool.state.EventLog.Event;
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.RoutingConfigurationParser;
 import bramblespool.state.Settings;
 import bramblespool.transport.Clock;
 import bramblespool.transport.PeerTransport;
@@ -421,7 +422,7 @@
                 response -> {
                     if (response != null && response.path("doc").isTextual()) {
                         try {
-                            RoutingConfiguration fetched = RoutingConfiguration.compileCompressed(
+                            RoutingConfiguration fetched = RoutingConfigurationParser.parseCompressed(
                                     response.path("doc").asText());
                             if (fetched.matches(epoch, stamp)) {
                                 shadowCommit.adopt(fetched, isMarked);
@@ -563,7 +564,7 @@
         RoutingConfiguration configuration = shadowCommit.realConfiguration();
         return configuration == null || !configuration.matches(epoch, stamp)
                 ? null
-                : JsonNodeFactory.instance.objectNode().put("doc", configuration.compressedDocument);
+                : JsonNodeFactory.instance.objectNode().put("doc", configuration.compressedDocument());
     }
 
     private ObjectNode describeStatus() {
@@ -588,7 +589,7 @@
         var servers = status.putArray("servers");
         admissions.serverIds().forEach(servers::add);
         if (shadowCommit.shadowConfiguration() != null) {
-            status.put("shadow", shadowCommit.shadowConfiguration().epoch);
+            status.put("shadow", shadowCommit.shadowConfiguration().epoch());
         }
         return status;
     }
--- a/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
+++ b/src/main/java/bramblespool/coordination/singleton/SingletonRoles.java
@@ -2,6 +2,8 @@
 
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.raft.RaftNode;
+import bramblespool.state.ReplicatedEntry;
+import bramblespool.state.ReplicatedEntryCodec;
 import bramblespool.state.ReplicatedState;
 import java.util.Collection;
 import java.util.HashSet;
@@ -71,10 +73,7 @@
 
     private void propose(String key, String owner) {
         raft.propose(
-                ReplicatedState.entry("duty")
-                        .put("key", key)
-                        .put("holder", owner)
-                        .toString(),
+                ReplicatedEntryCodec.encode(new ReplicatedEntry.SingletonRoleAssigned(key, owner)),
                 outcome -> proposedKeys.remove(key));
     }
 }
--- a/src/main/java/bramblespool/process/SidecarProcess.java
+++ b/src/main/java/bramblespool/process/SidecarProcess.java
@@ -56,7 +56,7 @@
      * once.
      */
     private void checkHealth(RoutingConfiguration configuration) {
-        Service service = configuration.services.get(settings.serviceName());
+        Service service = configuration.service(settings.serviceName());
         if (service == null) {
             return;
         }
--- a/src/main/java/bramblespool/protocol/RegistryPage.java
+++ b/src/main/java/bramblespool/protocol/RegistryPage.java
@@ -2,7 +2,7 @@
 
 import bramblespool.state.DocumentReader;
 import bramblespool.state.InvalidConfigurationException;
-import bramblespool.state.RoutingConfiguration;
+import bramblespool.state.StrictJson;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -66,7 +66,7 @@
      * @throws InvalidConfigurationException with all faults of the page; nothing is taken from a page with a fault
      */
     public static RegistryPage parse(byte[] body) throws InvalidConfigurationException {
-        JsonObject tree = RoutingConfiguration.parseDocument(body);
+        JsonObject tree = StrictJson.parseObject(body);
         List<String> faults = new ArrayList<>();
         List<RegisteredServer> servers = new ArrayList<>();
         Set<String> ids = new HashSet<>();
