--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -86,7 +86,7 @@
     public final IdempotencyTable idempotencyTable;
     /** Requests executed at this proxy's servers, by tenant; null without usage reporting. */
     public final UsageCounter usageCounter;
-    /** This proxy and its life, as its claims name it. */
+    /** This proxy and the run of its process, as its claims name it. */
     private final String claimOwner;
 
     private final ControllerSession controllerSession;
--- a/src/test/java/bramblespool/coordination/membership/EndpointDirectoryTest.java
+++ b/src/test/java/bramblespool/coordination/membership/EndpointDirectoryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which of many doors a request is sent to. */
+/** The choice of an endpoint for a request. */
 class EndpointDirectoryTest {
     private final Simulator simulator = new Simulator(5);
     private final Simulator.Machine machine = simulator.machine("10.0.1.1:7000");
@@ -78,7 +78,7 @@
                 choices.toString());
         simulator.run(3000);
         choices = countChoices(300);
-        assertTrue(choices.get("busy") > 70, "an old report says little: " + choices);
+        assertTrue(choices.get("busy") > 70, "an old report counts little: " + choices);
     }
 
     @Test
@@ -88,7 +88,8 @@
         addEndpoint("sound", "a", 0);
         addEndpoint("well", "a", 0);
         Map<String, Integer> choices = countChoices(300);
-        assertTrue(choices.get("sound") + choices.get("well") > 220, "not even one's own comes first: " + choices);
+        assertTrue(
+                choices.get("sound") + choices.get("well") > 220, "the own endpoint does not come first: " + choices);
     }
 
     @Test
--- a/src/test/java/bramblespool/coordination/tenancy/TenantsOfOneShard.java
+++ b/src/test/java/bramblespool/coordination/tenancy/TenantsOfOneShard.java
@@ -2,11 +2,11 @@
 
 import java.util.stream.IntStream;
 
-/** Names of tenants that are counted together, for tests. */
+/** Names of tenants in one shard, for tests. */
 public final class TenantsOfOneShard {
     private TenantsOfOneShard() {}
 
-    /** Another tenant in the slice of that one: whoever owns the one's bucket owns the other's. */
+    /** Another tenant in the same shard: both token buckets have the same owner. */
     public static String sharingShardWith(String tenant) {
         return IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "near" + i)
--- a/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
+++ b/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The gate in front of one server, on a simulated clock. */
+/** Admission of requests to one server, on a simulated clock. */
 class ServerAdmissionTest {
     private final Simulator simulator = new Simulator(1);
     private final Simulator.Machine machine = simulator.machine("10.0.1.1:7000");
@@ -76,11 +76,11 @@
             send(1, 200);
         }
         int refusedAtOnce = rejections.size();
-        assertTrue(refusedAtOnce > 50, "refused at once: " + refusedAtOnce);
-        rejections.forEach(r -> assertTrue(r.retryAfterMs() > 0, "says when to come back"));
+        assertTrue(refusedAtOnce > 50, "rejected at once: " + refusedAtOnce);
+        rejections.forEach(r -> assertTrue(r.retryAfterMs() > 0, "has a time to retry"));
         simulator.run(3000);
         assertEquals(6, maxRunning);
-        assertEquals(100, arrivals.size() + rejections.size(), "every request is heard of once");
+        assertEquals(100, arrivals.size() + rejections.size(), "every request has one outcome");
     }
 
     @Test
@@ -100,11 +100,11 @@
         assertTrue(arrivals.size() > 30, "it still serves: " + arrivals.size());
     }
 
-    /** A steward's new gate: the version came before it, and its bound on cold servers holds here too. */
+    /** A server assigned to a gateway after the configuration: its slow start applies here too. */
     @Test
     void admissionCreatedAfterConfigurationHasItsSlowStartLimit() throws InvalidConfigurationException {
-        ServerAdmissions gates = new ServerAdmissions();
-        gates.applyConfiguration(RoutingConfigurationParser.parse(SimulatedMesh.document(5, 0, "one")));
+        ServerAdmissions admissions = new ServerAdmissions();
+        admissions.applyConfiguration(RoutingConfigurationParser.parse(SimulatedMesh.document(5, 0, "one")));
         admission = new ServerAdmission(
                 machine,
                 new ServerAdmission.AdmissionSettings(0, 0, 2500, 1.5, 5),
@@ -112,7 +112,7 @@
                 "desk",
                 () -> {},
                 EventLog.silent());
-        gates.add(admission);
+        admissions.add(admission);
         admission.onRegistryEntry("i1", 6, false, 6000);
         for (int i = 0; i < 100; i++) {
             send(1, 5);
@@ -139,7 +139,7 @@
             send(1, 5);
             simulator.run(10);
         }
-        assertEquals(100, arrivals.size() - before, "warm again by its own word");
+        assertEquals(100, arrivals.size() - before, "slow start ended by its heartbeat");
     }
 
     @Test
@@ -149,7 +149,7 @@
             send(1, 5);
             simulator.run(10);
         }
-        assertEquals(0, arrivals.size(), "the last life may have used up this second");
+        assertEquals(0, arrivals.size(), "the previous process may have used up this second");
         for (int i = 0; i < 100; i++) {
             send(1, 5);
             simulator.run(10);
@@ -197,7 +197,7 @@
         assertNotNull(admission.onHeartbeat(new Heartbeat("i3", "desk", "10.9.9.9:9000", "a", 6, false, 0, 99)));
     }
 
-    /** Where this process does not remember the lives before, a late beat of an old one looks new; the server's own word counts. */
+    /** After a restart a delayed heartbeat of a former server looks new; the heartbeats of the present one decide. */
     @Test
     void liveServerIsRestoredAfterLateHeartbeatOfPreviousIncarnation() {
         heartbeat("i2", false, 0);
@@ -206,7 +206,7 @@
         assertNull(admission.onHeartbeat(new Heartbeat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
         admission.markUnreachable("i1");
         assertNull(admission.onHeartbeat(new Heartbeat("i2", "desk", "10.0.1.1:9000", "a", 6, false, 0, 1)));
-        assertFalse(admission.isAccepting(), "nor does a late beat of the other bring that one back");
+        assertFalse(admission.isAccepting(), "nor does a delayed heartbeat of the other bring that one back");
         heartbeat("i2", false, 0);
         assertEquals("i2", admission.serverId());
         assertTrue(admission.isAccepting());
@@ -265,7 +265,7 @@
                     drawn++;
                 }
             }
-            assertEquals(Set.of("desk"), budget.takeExhaustedServices(), "whoever lacks a try asks for one");
+            assertEquals(Set.of("desk"), budget.takeExhaustedServices(), "without a retry one is asked for");
             int leaseSize = owner.grant("desk", 7);
             granted += leaseSize;
             budget.addLease("desk", leaseSize, simulator.nowMs() + owner.leaseDurationMs());
@@ -275,13 +275,13 @@
         }
         assertTrue(granted > 0 && granted <= allowance / 4, granted + " granted");
         assertTrue(drawn >= granted);
-        assertTrue(drawn <= ratio * requests + allowance, drawn + " further tries of " + requests);
-        assertEquals(0, owner.grant("desk", 8), "a new owner waits until nothing of the old one's can be left");
+        assertTrue(drawn <= ratio * requests + allowance, drawn + " retries of " + requests);
+        assertEquals(0, owner.grant("desk", 8), "a new owner waits until all grants of the old one have expired");
         simulator.run(owner.leaseDurationMs());
         RetryBudget late = new RetryBudget(0, 1);
         late.setProxyCount(500);
         late.addLease("desk", 1, simulator.nowMs() - 1);
-        assertFalse(late.tryAcquire("desk", simulator.nowMs()), "a lease ends");
+        assertFalse(late.tryAcquire("desk", simulator.nowMs()), "a lease expires");
     }
 
     @Test
@@ -296,13 +296,13 @@
         assertTrue(
                 admission.reportedFailureRate() >= 0.2 && admission.reportedFailureRate() < 0.8,
                 "ill: " + admission.reportedFailureRate());
-        assertTrue(admission.isAccepting(), "less, not nothing");
+        assertTrue(admission.isAccepting(), "fewer requests, not none");
         simulator.run(15_000);
         admission.check();
         assertEquals(0, admission.reportedFailureRate());
     }
 
-    /** A server that turns five times as slow says so within a few requests. */
+    /** A server that becomes five times as slow is detected within a few requests. */
     @Test
     void slowServerIsReportedAndRecovers() {
         heartbeat("i1", false, 0);
@@ -310,7 +310,7 @@
             send(1, i % 2 == 0 ? 60 : 90);
             simulator.run(120);
         }
-        assertEquals(0, admission.slownessLevel(), "at its usual pace");
+        assertEquals(0, admission.slownessLevel(), "at its usual latency");
         for (int i = 0; i < 20; i++) {
             send(1, i % 2 == 0 ? 300 : 450);
             simulator.run(200);
@@ -319,6 +319,6 @@
         assertEquals(2, admission.slownessLevel(), "many times slower");
         simulator.run(10_000);
         admission.check();
-        assertEquals(0, admission.slownessLevel(), "and it is tried again");
+        assertEquals(0, admission.slownessLevel(), "and the level decays, so that it is tried again");
     }
 }
--- a/src/test/java/bramblespool/proxy/IdleConnectionsTest.java
+++ b/src/test/java/bramblespool/proxy/IdleConnectionsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How long clients' connections may rest, on a simulated clock. */
+/** How long clients' connections may stay idle, on a simulated clock. */
 class IdleConnectionsTest {
     private final class Connection implements Channel {
         private final String name;
--- a/src/test/java/bramblespool/proxy/ResponseIntegrityTest.java
+++ b/src/test/java/bramblespool/proxy/ResponseIntegrityTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Faults of each hop's far end on real sockets: no client gets an answer to another request, a mutating one runs at most
- * once, and what promises that it has not run is true. No time passes but where a test says so.
+ * Faults of each hop's server side on real sockets: no client gets a response to another request, a mutating request is
+ * executed at most once, and a promise that a request was not executed is true. Time passes only where a test lets it.
  */
 class ResponseIntegrityTest {
-    /** The statuses by which a request is promised not to have run. */
+    /** The statuses that promise that a request was not executed. */
     private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
     private static final long BEYOND_DEADLINE_MS = 2000;
@@ -68,11 +68,11 @@
             assertTrue(recorder.executionsOf(id) <= 1, id + " ran " + recorder.executionsOf(id) + " times");
             assertTrue(
                     !NOT_EXECUTED_STATUSES.contains(reply.status()) || recorder.executionsOf(id) == 0,
-                    "promised that it had not run: " + reply);
+                    "promised that it was not executed: " + reply);
         }
     }
 
-    /** What comes after a fault gets its own answers; where {@code dirty}, one may be lost, but never the last. */
+    /** Requests after a fault get their own responses; where {@code dirty}, one may be lost, but never the last. */
     private void assertStillServes(String path, boolean mayLoseOne) throws Exception {
         int lostCount = 0;
         for (int i = 0; i < 6; i++) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /** After the columns of statuses: how often a mutating one runs, and what is done with the connection. */
+    /** After the columns of statuses: how often a mutating request is executed, and what becomes of the connection. */
     @ParameterizedTest
     @CsvSource({
         "ok,200,200,1,used",
@@ -147,10 +147,10 @@
                                 .toList();
                 assertTrue(
                         !connection.equals("shut") || !laterConnections.contains(connectionNumber),
-                        description + ": a connection that is not to be trusted is used again");
+                        description + ": an unreliable connection is reused");
                 assertTrue(
                         !connection.equals("used") || laterConnections.contains(connectionNumber),
-                        description + ": a sound one is used again");
+                        description + ": a sound connection is reused");
                 context.close();
                 open();
             }
@@ -164,7 +164,7 @@
         assertEquals(1, recorder.executionsOf("a"));
     }
 
-    /** The inbound daemon names the request in whatever it answers, or the outbound one would not believe it. */
+    /** The inbound proxy names the attempt in every response; otherwise the outbound proxy rejects the response. */
     @ParameterizedTest
     @CsvSource({
         "/SERVER/mutating/ok,0,200",
@@ -191,7 +191,7 @@
         }
     }
 
-    /** A server answers when it has read the head only, and reads on; the client sends on, or goes away, or stops. */
+    /** A server responds after it has read the head only, and reads on; the client sends on, closes, or stops. */
     @ParameterizedTest
     @CsvSource({
         "SERVER,early,200,whole",
@@ -230,14 +230,14 @@
             for (ReceivedRequest request : recorder.requests.subList(requestsBefore, recorder.requests.size())) {
                 assertTrue(
                         request.connection() != connectionNumber || request.id().equals("early"),
-                        "a request was sent behind one that was not sent whole");
+                        "a request was sent after an incomplete one");
             }
             for (ReceivedRequest request : recorder.requests) {
                 assertTrue(
                         !request.id().equals("early")
                                 || request.body() == null
                                 || request.body().length() == 2 * content.length(),
-                        "a cut body looks whole");
+                        "a truncated body looks complete");
             }
         }
     }
@@ -260,22 +260,25 @@
                     socket.shutdownOutput();
                     Reply reply = Reply.read(socket);
                     assertTrue(reply.status() / 100 != 2, reply.toString());
-                    assertEquals(0, recorder.executionsOf(id), "a cut body looks whole: " + id);
+                    assertEquals(0, recorder.executionsOf(id), "a truncated body looks complete: " + id);
                 }
                 assertStillServes("/" + hop + "/mutating/", false);
-                assertEquals(0, recorder.executionsOf(id), "a cut body looks whole: " + id);
+                assertEquals(0, recorder.executionsOf(id), "a truncated body looks complete: " + id);
             }
         }
     }
 
-    /** A long answer, passed on as it comes, whose end is missing. */
+    /** A long response, streamed, whose end is missing. */
     @ParameterizedTest
     @CsvSource({"SERVER,longCut", "SERVER,longChunksCut", "PEER,longCut", "PEER,longChunksCut"})
     void truncatedResponseNeverLooksComplete(String hop, String fault) throws Exception {
         for (String routeClass : List.of("mutating", "idempotent")) {
             Reply reply = join(context.send(routeClass, "/" + hop + "/" + routeClass + "/" + fault));
             assertEquals(0, reply.status(), "it must break off here too");
-            assertEquals(1, recorder.executionsOf(routeClass), "of which a part has been passed on is not sent again");
+            assertEquals(
+                    1,
+                    recorder.executionsOf(routeClass),
+                    "a request whose response was partly forwarded is not sent again");
             assertStillServes("/" + hop + "/mutating/", false);
         }
     }
@@ -299,12 +302,12 @@
 
     private JsonNode await(CompletableFuture<JsonNode> call) throws Exception {
         JsonNode answer = call.get(SocketTestContext.HANG_TIMEOUT_S, TimeUnit.SECONDS);
-        // The loop's next turn, in which the connection is put by.
+        // The event loop's next turn, in which the connection is pooled.
         SocketTestContext.runOnLoop(() -> null);
         return answer;
     }
 
-    /** Messages between daemons: each call hears one word, its own answer or none. */
+    /** Messages between processes: each call gets one result, its own answer or none. */
     @ParameterizedTest
     @CsvSource({
         "ok,y,used",
@@ -345,17 +348,18 @@
                     next == null
                             ? connection.equals("dirty") && number < 5
                             : next.path("n").asInt() == number,
-                    number + " heard " + next);
+                    number + " got " + next);
         }
-        assertEquals(6, answersReceived.get(), "each call hears once");
+        assertEquals(6, answersReceived.get(), "each call has one result");
         List<Integer> laterConnections = recorder.requests.subList(2, recorder.requests.size()).stream()
                 .map(ReceivedRequest::connection)
                 .toList();
         assertTrue(
                 !connection.equals("shut") || !laterConnections.contains(connectionNumber),
-                "a connection that is not to be trusted is used again");
+                "an unreliable connection is reused");
         assertTrue(
-                !connection.equals("used") || laterConnections.contains(connectionNumber), "a sound one is used again");
+                !connection.equals("used") || laterConnections.contains(connectionNumber),
+                "a sound connection is reused");
     }
 
     @ParameterizedTest
--- a/src/test/java/bramblespool/proxy/ServerStandIn.java
+++ b/src/test/java/bramblespool/proxy/ServerStandIn.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The far end of a hop on a real socket, which at the first arrival of a request commits the fault that its path names. */
+/** The server side of a hop on a real socket; at the first arrival of a request it commits the fault named by its path. */
 final class ServerStandIn {
-    /** Which hop it is the end of: how it names a request, and what else its answers say. */
+    /** The hop: the header that identifies a request, and the other headers of responses. */
     enum Hop {
         SERVER("X-Attempt-Id", "X-Server-Seal: s\r\n", "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\n"),
         PEER(
@@ -38,18 +38,18 @@
         }
     }
 
-    /** A request as it came; {@code whole}: with its body, which is null where that was never whole. */
+    /** A request as received; its body is null where it was never complete. */
     record ReceivedRequest(String id, int connection, String body) {}
 
-    /** What several ends of one hop have seen, and the latches by which a test goes along with them. */
+    /** What the servers of one hop have received, and the latches by which a test synchronizes with them. */
     static final class Recorder {
         final List<ReceivedRequest> requests = new CopyOnWriteArrayList<>();
         final List<String> executedIds = new CopyOnWriteArrayList<>();
-        /** The fault's request has come. */
+        /** The request with the fault has arrived. */
         final CountDownLatch faultReached = new CountDownLatch(1);
-        /** The fault may go on. */
+        /** The fault may proceed. */
         final CountDownLatch mayProceed = new CountDownLatch(1);
-        /** The end at which the fault was committed has nothing more to do for it. */
+        /** The server that committed the fault has finished with it. */
         final CountDownLatch faultFinished = new CountDownLatch(1);
 
         private final Map<String, Boolean> seenIds = new ConcurrentHashMap<>();
@@ -59,7 +59,7 @@
             return executedIds.stream().filter(id::equals).count();
         }
 
-        /** The connections on which a request came, in the order of its arrivals. */
+        /** The connections on which a request arrived, in order. */
         List<Integer> connectionsOf(String id) {
             return requests.stream()
                     .filter(a -> a.id.equals(id))
@@ -87,7 +87,7 @@
         this.hop = hop;
         this.recorder = book;
         socket = new ServerSocket();
-        // So little that a body of megabytes cannot be on its way whole while nobody reads it.
+        // So small that a body of megabytes does not fit into the buffers while it is not read.
         socket.setReceiveBufferSize(1 << 16);
         socket.bind(new InetSocketAddress(SocketTestContext.IP, 0), 50);
         startDaemonThread(() -> {
@@ -120,7 +120,7 @@
                     try {
                         task.run();
                     } catch (IOException e) {
-                        // The connection, or the listening, is over.
+                        // The connection or the listening socket is closed.
                     }
                 },
                 "stand-in");
@@ -177,7 +177,7 @@
                     return;
                 }
                 if (answersEarly) {
-                    // Reads on, as a server may that answers before it has all.
+                    // Reads on, as a server may that responds before it has the whole request.
                     Recorder.await(recorder.mayProceed);
                     try {
                         String body = readBody(client.getInputStream(), head);
@@ -190,7 +190,7 @@
         }
     }
 
-    /** The bytes that are sent back; an answer's body names the request that it is to, or repeats its message. */
+    /** The bytes of the response, whose body names its request or repeats its message. */
     private String responseFor(String fault, String requestId, String requestBody) {
         String responseBody = hop == Hop.MESSAGE ? requestBody == null ? "{}" : requestBody : "ran " + requestId;
         String ownIdHeader = hop.idHeader + ": " + requestId + "\r\n";
--- a/src/test/java/bramblespool/proxy/SocketTestContext.java
+++ b/src/test/java/bramblespool/proxy/SocketTestContext.java
@@ -39,14 +39,14 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Daemons of the data plane on real sockets, in whose clocks time passes only when the test says so. One takes clients'
- * requests; its service {@code desk} is behind two inbound daemons with a stand-in for a server each, and {@code shop}
- * behind two stand-ins for inbound daemons.
+ * Proxies on real sockets, on clocks whose time passes only when the test lets it. One takes clients' requests; its service
+ * {@code desk} is behind two inbound proxies with a stand-in for a server each, and {@code shop} behind two stand-ins for
+ * inbound proxies.
  */
 final class SocketTestContext implements AutoCloseable {
-    /** Whatever takes so long hangs; nothing is expected to come near it. */
+    /** Time-out of a step that hangs; no step is expected to come near it. */
     static final int HANG_TIMEOUT_S = Integer.getInteger("guard", 120);
-    /** A loopback address of this process alone, so that nobody else takes a port between two listeners. */
+    /** A loopback address of this process alone, so that no other process takes a port between two listeners. */
     static final String IP = "127." + (1 + ProcessHandle.current().pid() / 62500 % 250) + "."
             + (ProcessHandle.current().pid() / 250 % 250) + "."
             + (1 + ProcessHandle.current().pid() % 250);
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Stands still until it is told to go on. */
+    /** A clock that stands still until the test advances it. */
     static final class ManualClock implements Clock {
         private record ScheduledTask(long atMs, long sequence, Runnable task) {}
 
@@ -117,7 +117,7 @@
     private final List<Listeners> listeners = new ArrayList<>();
     private final List<ServerStandIn> standIns = new ArrayList<>();
     private final String outboundAddress;
-    /** Where calls between daemons come in at a real one. */
+    /** The address at which a real proxy takes requests of other proxies. */
     final String inboundAddress;
     /** The end of a peer message. */
     final String peerAddress;
@@ -217,7 +217,7 @@
         return newListeners;
     }
 
-    /** Listens at a free port, and at another where that was taken meanwhile. */
+    /** Listens at a free port, or at another one where that was taken meanwhile. */
     private static String listen(Listeners nodeListeners, HttpHandler handler) throws IOException {
         while (true) {
             String address;
@@ -270,7 +270,7 @@
         });
     }
 
-    /** Does it on the loop, and waits for it. */
+    /** Runs a task on the event loop and waits for it. */
     static <T> T runOnLoop(Callable<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         EVENT_LOOP.post(() -> {
@@ -287,7 +287,7 @@
         }
     }
 
-    /** An answer as a client sees it; status 0: the connection ended before there was a whole one. */
+    /** A response as a client sees it; status 0: the connection ended before it was complete. */
     record Reply(int status, String head, String body) {
         static Reply read(Socket socket) throws IOException {
             try {
@@ -319,7 +319,7 @@
                 + moreHeaders + "\r\n";
     }
 
-    /** Sends a small request on a connection of its own; what comes of it. */
+    /** Sends a small request on its own connection; returns the result. */
     CompletableFuture<Reply> send(String id, String path) {
         return CompletableFuture.supplyAsync(() -> {
             try (Socket socket = connect(outboundAddress)) {
@@ -331,7 +331,7 @@
         });
     }
 
-    /** A connection to the daemon that takes clients' requests. */
+    /** A connection to the proxy that takes clients' requests. */
     Socket connectAsClient() throws IOException {
         return connect(outboundAddress);
     }
