--- a/src/test/java/bramblespool/cluster/ClusterRecoveryTest.java
+++ b/src/test/java/bramblespool/cluster/ClusterRecoveryTest.java
@@ -141,7 +141,7 @@
         mesh.simulator.machine(fullPeer).disk.isFull = true;
         mesh.submitToLeader(SimulatedMesh.change(6, 5, "two"), o -> {});
         mesh.simulator.run(4000);
-        assertFalse(mesh.controllers.get(fullPeer).raft().isLeader(), "a helm that cannot sync gives up the lead");
+        assertFalse(mesh.controllers.get(fullPeer).raft().isLeader(), "a controller that cannot sync steps down");
         long currentVersion = mesh.leader().replicatedState().current().epoch();
         assertEquals(200, submit(mesh, 8, currentVersion, "three").status());
         mesh.simulator.machine(fullPeer).disk.isFull = false;
@@ -163,13 +163,13 @@
         mesh.startSidecar(SimulatedMesh.sidecarPeer(0));
         mesh.simulator.run(6000);
         DataPlaneNode back = mesh.sidecars.get(SimulatedMesh.sidecarPeer(0));
-        assertEquals(5, back.shadowCommit.epoch(), "with the whole core gone the other wefts tell the version");
+        assertEquals(5, back.shadowCommit.epoch(), "with all controllers gone the other sidecars have the version");
         assertTrue(back.isReady());
     }
 
     /**
-     * A candidate reaches the wefts and its leader dies before the decision; one weft is cut off before it hears of the
-     * end, and another change with the same number is decided without it. It must not take the one it kept.
+     * A candidate reaches the sidecars and its leader dies before the decision; one sidecar is partitioned before it
+     * sees the end, and another change with the same number is decided without it. It must not take the one it kept.
      */
     @ParameterizedTest
     @ValueSource(ints = {6, 9, 12, 15, 18, 21, 24})
@@ -206,7 +206,10 @@
         assertVersions(mesh, 7);
     }
 
-    /** Its last life had sessions of higher numbers: it is a member again, with the version in force, in a few messages. */
+    /**
+     * Its last incarnation had sessions of higher numbers: it is a member again, with the version in force, in a few
+     * messages.
+     */
     @Test
     void restartedSidecarRejoinsAtOnce() {
         SimulatedMesh mesh = new SimulatedMesh(9, 3, 4);
@@ -222,7 +225,10 @@
         }
     }
 
-    /** A cell is cut off from the other helms, its sides are not: they follow the others' version and evacuations in time. */
+    /**
+     * A zone controller is cut off from the others, its proxies are not: they follow the others' version and
+     * evacuations in time.
+     */
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55, 56, 57, 58})
     void proxiesOfPartitionedZoneControllerFollowInTime(long seed) {
@@ -249,10 +255,10 @@
         mesh.simulator.run(3500);
         assertTrue(isAcknowledged[0]);
         mesh.sidecars.forEach(
-                (p, w) -> assertTrue(w.endpointDirectory.isEvacuated("b"), p + " has not heard of the evacuation"));
+                (p, w) -> assertTrue(w.endpointDirectory.isEvacuated("b"), p + " does not know of the evacuation"));
     }
 
-    /** A rolling restart ends the weft, not its server: others send to it until shortly before, and nobody after. */
+    /** A rolling restart ends the sidecar, not its server: others send to it until shortly before, and nobody after. */
     @Test
     void terminatingSidecarServesUntilShortlyBeforeItsEnd() {
         SimulatedMesh mesh = new SimulatedMesh(8, 3, 3);
@@ -266,10 +272,10 @@
         mesh.simulator.run(1300);
         assertTrue(wouldSendTo(other, "weft-1"), "its server is still used");
         mesh.simulator.run(300);
-        assertFalse(wouldSendTo(other, "weft-1"), "told before it ends");
+        assertFalse(wouldSendTo(other, "weft-1"), "notified before it ends");
     }
 
-    /** Whether a weft would send a request to that one's server. */
+    /** Whether a sidecar would send a request to that node's server. */
     private static boolean wouldSendTo(DataPlaneNode proxy, String node) {
         Set<EndpointDirectory.Endpoint> seen = new HashSet<>();
         for (EndpointDirectory.Endpoint endpoint = proxy.endpointDirectory.chooseEndpoint("desk", seen);
@@ -306,7 +312,10 @@
         assertVersions(mesh, 5);
     }
 
-    /** Whoever owns a service's slack dies, and the leader with it: somebody else owns it then, under a higher fence. */
+    /**
+     * The owner of a service's retry budget dies, and the leader with it: somebody else owns it then, under a higher
+     * fencing token.
+     */
     @Test
     void retryBudgetLeasesSurviveLossOfOwnerAndLeader() {
         SimulatedMesh mesh = new SimulatedMesh(4, 3, 4);
@@ -328,7 +337,7 @@
                 first + " then " + next);
     }
 
-    /** Lets a weft want tries until it has some, and says who owns the slack. */
+    /** Lets a sidecar request retries until it has some, and answers who owns the retry budget. */
     private static ReplicatedState.SingletonRole retryBudgetRole(SimulatedMesh mesh, DataPlaneNode sidecar) {
         boolean isLeased = false;
         for (int i = 0; i < 60 && !isLeased; i++) {
@@ -341,7 +350,9 @@
         return mesh.leader().replicatedState().singletonRoles().get("slack/desk");
     }
 
-    /** The leader is cut off with one operator, the other operator reaches the rest; both send on top of one version. */
+    /**
+     * The leader is cut off with one operator, the other operator reaches the rest; both send on top of one version.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void noTwoChangesOnOneVersionAreAcknowledgedDuringPartition(long seed) {
@@ -397,7 +408,7 @@
         mesh.simulator.afterEach = () -> mesh.sidecars.values().forEach(sidecar -> {
             long version = sidecar.shadowCommit.epoch();
             if (version < highest.getOrDefault(sidecar, 0L)) {
-                violations.add("a weft went back from " + highest.get(sidecar) + " to " + version);
+                violations.add("a sidecar went back from " + highest.get(sidecar) + " to " + version);
             }
             highest.put(sidecar, version);
             if (version > 0
--- a/src/test/java/bramblespool/cluster/ConnectionLimitsTest.java
+++ b/src/test/java/bramblespool/cluster/ConnectionLimitsTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operator's limits on clients' connections, on real sockets: one helm, one weft, no server. */
+/** The operator's limits on clients' connections, on real sockets: one controller, one sidecar, no server. */
 class ConnectionLimitsTest {
     private static final int IDLE_MS = 400;
 
@@ -99,7 +99,7 @@
                 "test");
     }
 
-    /** Puts a version in force, whose only prefix is its number, and waits until the weft knows no other. */
+    /** Puts a version in force, whose only prefix is its number, and waits until the sidecar knows no other. */
     private void configure(int epoch, int base, int idleMs, int bodyBytes) throws IOException {
         String body = SimulatedMesh.document(epoch, base, "p" + epoch)
                 .replace("\"15s\"", "\"" + idleMs + "ms\"")
@@ -150,7 +150,7 @@
             idleSocket.setSoTimeout(IDLE_MS * 10);
             assertEquals("404", exchange(idleSocket, get("/nowhere/")));
             long startNs = System.nanoTime();
-            assertEquals(-1, idleSocket.getInputStream().read(), "closed by the weft");
+            assertEquals(-1, idleSocket.getInputStream().read(), "closed by the sidecar");
             assertTrue(
                     System.nanoTime() - startNs >= IDLE_MS * 1_000_000L * 4 / 5,
                     "but not within what clients count on");
@@ -179,9 +179,16 @@
         }
     }
 
-    /** An order, a beat and a request whose body cannot be read were not taken, and no answer may say that they were. */
+    /**
+     * An operator's request, a heartbeat and a request whose body cannot be read were not executed, and no answer may
+     * say so.
+     */
     @ParameterizedTest
-    @CsvSource({"order, /bramblespool/config/replace", "beat, /bramblespool/servers/i-1/heartbeat", "request, /p3/x"})
+    @CsvSource({
+        "order, /bramblespool/config/replace",
+        "heartbeat, /bramblespool/servers/i-1/heartbeat",
+        "request, /p3/x"
+    })
     void truncatedBodyIsNeverAcknowledged(String kind, String path) throws Exception {
         String host = kind.equals("order") ? CONTROLLER_IP : SIDECAR_IP;
         int portNumber = kind.equals("request") ? ports[3] : ports[1];
@@ -200,7 +207,7 @@
         }
     }
 
-    /** What is over a bound was not taken either, whether its length is told beforehand or not. */
+    /** What is over a limit is rejected, whether its length is declared or not. */
     @Test
     void oversizedBodyIsAnswered413() throws Exception {
         String head = " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: a\r\n";
--- a/src/test/java/bramblespool/cluster/EndpointAssignmentTest.java
+++ b/src/test/java/bramblespool/cluster/EndpointAssignmentTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Hems, the list of servers and its readers, on a simulated network, clock and disks. */
+/** Gateways, the platform's registry of servers and its readers, on a simulated network, clock and disks. */
 class EndpointAssignmentTest {
     private final SimulatedPlatform platform = new SimulatedPlatform();
     private SimulatedMesh mesh;
@@ -43,7 +43,7 @@
         mesh.simulator.run(6000);
     }
 
-    /** Which hems have a gate to a server. */
+    /** Which gateways admit requests to a server. */
     private List<String> gatewaysAssigned(String id) {
         List<String> assigned = new ArrayList<>();
         mesh.gateways.forEach((peer, gateway) -> {
@@ -140,7 +140,7 @@
                 "all of its zone, and nobody else holds on");
     }
 
-    /** The reader dies in the moment in which it has seen a server draining, and has told nobody. */
+    /** The reader dies in the moment in which it has seen a server draining, and has notified nobody. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void drainingIsNoticedThoughReaderDies(boolean isRestartedAtOnce) {
@@ -158,18 +158,21 @@
         if (isRestartedAtOnce) {
             mesh.startController(readerPeer, false);
         }
-        // drain is 2.5 s, but the hems are in touch only after quiet, 3 s from the last kill or start.
+        // drain is 2.5 s, but the gateways have sessions only after quiet, 3 s from the last kill or start.
         mesh.simulator.run(3000);
         assertFalse(isAcceptingRequests("s0"));
         assertEachServerAssignedOnce();
         assertEquals(gatewaysAssigned("s0").size(), 1);
     }
 
-    /** The readers lose touch while there is no leader, and go on under the same fence: what they say then is new. */
+    /**
+     * The readers lose contact while there is no leader, and go on under the same fencing token: what they send then
+     * is new.
+     */
     @Test
     void drainingWithoutLeaderIsNoticedOnceThereIsOne() {
         String readerPeer = registryReader("a");
-        // The reader hears nobody for longer than it trusts a silent leader.
+        // The reader has no contact for longer than it trusts a silent leader.
         mesh.controllers.keySet().forEach(h -> mesh.simulator.setLinkCut(h, readerPeer, !h.equals(readerPeer)));
         mesh.simulator.run(1300);
         mesh.controllers.keySet().forEach(h -> mesh.simulator.setLinkCut(h, readerPeer, false));
@@ -181,8 +184,9 @@
     }
 
     /**
-     * The bound runs while the core is not settled, and holds for machines in touch, which they are {@code quiet} after the
-     * losses: by then nobody may send to a server that the list showed as leaving at the moment of the losses.
+     * The bound runs while the controllers are unstable, and holds for machines with a session, which they have
+     * {@code quiet} after the losses: by then nobody may send to a server that the list showed as leaving at the
+     * moment of the losses.
      */
     @ParameterizedTest
     @CsvSource({"3, true", "4, true", "8, true", "9, true", "32, true", "8, false"})
@@ -318,7 +322,7 @@
         assertEquals(5, cluster.leader().replicatedState().current().epoch());
     }
 
-    /** With a hundred hems a change costs each about one message, and what it costs does not grow with the square. */
+    /** With a hundred gateways a change costs each about one message, and the cost does not grow with the square. */
     @Test
     void changeCostsAboutOneMessagePerNode() {
         long few = changeCost(30);
--- a/src/test/java/bramblespool/cluster/HttpFramingTest.java
+++ b/src/test/java/bramblespool/cluster/HttpFramingTest.java
@@ -30,7 +30,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Framing and headers on real sockets: one helm, one weft and a server that misbehaves where the path says so. */
+/**
+ * Framing and headers on real sockets: one controller, one sidecar and a server that misbehaves where the path says
+ * so.
+ */
 class HttpFramingTest {
     @TempDir
     static Path dir;
@@ -47,7 +50,10 @@
     /** Whatever takes so long hangs; nothing is expected to come near it. */
     private static final int HANG_TIMEOUT_MS = 120_000;
 
-    /** A loop whose clock goes slowly once all is up: what a busy machine takes is nothing to its leases, deadlines and buckets. */
+    /**
+     * A loop whose clock goes slowly once all is up: what a busy machine takes is nothing to its leases, deadlines
+     * and buckets.
+     */
     private static final class SlowLoop extends EventLoop {
         private static final int FACTOR = 20;
         private long slowSinceMs = -1;
@@ -125,9 +131,9 @@
                 () -> exchange(SIDECAR_IP, PORTS[4], "GET /bramblespool/readiness HTTP/1.1\r\nHost: h\r\n\r\n"),
                 "HTTP/1.1 200");
         loop.startSlowing();
-        // A helm that has just started grants no leases yet.
+        // A controller that has just started grants no leases yet.
         awaitResponse(() -> sendGet("/s/warm", "Authorization: Token key-4\r\n"), "HTTP/1.1 200");
-        // Without an owner of a slice a voter grants what the rule leaves besides. That a limit is reached only an
+        // Without an owner of a shard a voter grants what the rule leaves besides. That a limit is reached only an
         // owner says.
         awaitResponse(() -> sendGet("/s/near", "Authorization: Token key-5\r\n"), "HTTP/1.1 429");
     }
@@ -199,7 +205,7 @@
         }
     }
 
-    /** Serves requests without bodies, or with bodies of a told length, in the manner that the path names. */
+    /** Serves requests without bodies, or with bodies of a declared length, in the manner that the path names. */
     private static void serveAsServer(Socket socket) {
         try (socket) {
             String previousIdHeaders = "";
@@ -352,7 +358,7 @@
     @Test
     void surplusLateResponseReachesNobody() throws IOException {
         String next = "";
-        // Which kept connection a request takes is the weft's affair; sooner or later it is the one that stuttered.
+        // Which idle connection a request takes is the sidecar's choice; sooner or later it is the one that stuttered.
         for (int i = 0; i < 50 && !next.startsWith("HTTP/1.1 502 "); i++) {
             assertTrue(sendGet("/a/stutter", "").endsWith("good"));
             next = sendGet("/a/victim", "");
@@ -551,7 +557,7 @@
             lastResponse = sendGet("/s/few", "Authorization: Token key-3\r\n");
         }
         assertTrue(lastResponse.startsWith("HTTP/1.1 429 ") && lastResponse.contains("Retry-After: "), lastResponse);
-        assertEquals(6, SERVER_REQUESTS.size() - requestsBefore, "a burst of two, and a fifth of a slack of twenty");
+        assertEquals(6, SERVER_REQUESTS.size() - requestsBefore, "a burst of two, and a fifth of a margin of twenty");
         assertTrue(
                 sendGet("/s/many", "Authorization: Token key-1\r\n").startsWith("HTTP/1.1 200"),
                 "another tenant has its own");
--- a/src/test/java/bramblespool/cluster/IdempotencyAndRateLimitTest.java
+++ b/src/test/java/bramblespool/cluster/IdempotencyAndRateLimitTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Operation keys and limits over a simulated fleet: what runs, how often, and what repeats are told. */
+/** Idempotency keys and rate limits over a simulated mesh: what runs, how often, and how repeats are answered. */
 class IdempotencyAndRateLimitTest {
     private static final int SIDECARS = 9;
 
@@ -46,7 +46,7 @@
         mesh.simulator.run(5000);
     }
 
-    /** One try at a side, as the role there takes it: what was let through reaches a server, is refused, or is lost. */
+    /** One attempt at a proxy: what was admitted reaches a server, is rejected, or is lost. */
     private void attempt(int sidecarIndex, String key, java.util.function.IntConsumer onStatus) {
         DataPlaneNode proxy = sidecar(sidecarIndex);
         if (proxy == null) {
@@ -68,7 +68,7 @@
                                     return;
                                 }
                                 executionsByKey.merge(key, 1, Integer::sum);
-                                // The answer, if any, comes while this process lives.
+                                // The answer, if any, comes while this process runs.
                                 machine.schedule(20 + random.nextInt(200), () -> {
                                     if (choice < 3) {
                                         proxy.idempotencyTable.markUnknown(operation);
@@ -105,7 +105,7 @@
                         });
     }
 
-    /** Tries again after whatever it is told, and after a silence, sometimes elsewhere; and once more when it was served. */
+    /** Retries after any answer and after a silence, sometimes elsewhere; and once more when it was served. */
     private void retryUntilServed(String key, int sidecarIndex, int remainingAttempts) {
         if (remainingAttempts == 0) {
             return;
@@ -216,13 +216,13 @@
         for (int at : new int[] {3, 4}) {
             attempt(at, key, s -> statuses[1] = s);
             mesh.simulator.run(1200);
-            assertEquals(409, statuses[1], "side gone");
+            assertEquals(409, statuses[1], "proxy gone");
         }
         mesh.startSidecar(SimulatedMesh.sidecarPeer(2));
         mesh.simulator.run(3000);
         attempt(2, key, s -> statuses[1] = s);
         mesh.simulator.run(1200);
-        assertEquals(409, statuses[1], "a new life of that side does not know either");
+        assertEquals(409, statuses[1], "a new incarnation of that proxy does not know either");
         assertEquals(1, executionsByKey.get(key));
     }
 
@@ -263,12 +263,15 @@
                         });
     }
 
-    /** After how long without a new fault, and with one helm at most still faulty, the others have settled. */
+    /** How long after the last fault, with at most one controller still faulty, the others are stable. */
     private static final int SETTLING_TIME_MS = 1500;
 
     private static final int STEP_MS = 20;
 
-    /** One tenant sends ten times its limit from everywhere while helms die, are cut off, stand still and come back. */
+    /**
+     * One tenant sends ten times its limit from everywhere while controllers die, are partitioned, freeze and come
+     * back.
+     */
     @ParameterizedTest
     @MethodSource("seeds")
     void rateLimitHoldsInEveryWindowUnderRandomFaults(int seed) {
@@ -329,13 +332,14 @@
             assertTrue(
                     to - from + 1 <= limit, "seed " + seed + ": " + (to - from + 1) + " in a window, at most " + limit);
         }
-        // Whatever else happens: with all helms but one well for a while, who asks for more than all gets all there is.
+        // Whatever else happens: with all controllers but one healthy for a while, who asks for more than all gets all
+        // there is.
         assertTrue(
                 calmGrants > RATE_PER_S * calmSteps * STEP_MS / 1000 * 0.9,
                 "seed " + seed + ": " + calmGrants + " in " + calmSteps + " calm steps");
     }
 
-    /** A tenant below its limit is served wherever it asks; and while the owner of its slice dies, mostly. */
+    /** A tenant below its limit is served wherever it asks; and while the owner of its shard dies, mostly. */
     @Test
     void tenantBelowLimitIsServedEverywhere() {
         start(3, 4);
--- a/src/test/java/bramblespool/cluster/LargeClusterTest.java
+++ b/src/test/java/bramblespool/cluster/LargeClusterTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A hundred wefts and six helms in six zones, with narrow links and slow processors: what grows too fast comes late. */
+/**
+ * A hundred sidecars and six controllers in six zones, with narrow links and slow processors: what grows too fast
+ * comes late.
+ */
 class LargeClusterTest {
     private static final int SIDECARS = Integer.getInteger("sides", 100);
 
@@ -82,8 +85,9 @@
             maxHandled = Math.max(maxHandled, controllerMachine(i).handledMessages);
             totalHandled += controllerMachine(i).handledMessages;
         }
-        assertEquals(SIDECARS, sessionsAtZoneController(), "each has found the helm of its zone");
-        assertTrue(maxHandled < totalHandled / 6 * 2, maxHandled + " of " + totalHandled + " messages at one helm");
+        assertEquals(SIDECARS, sessionsAtZoneController(), "each has found the controller of its zone");
+        assertTrue(
+                maxHandled < totalHandled / 6 * 2, maxHandled + " of " + totalHandled + " messages at one controller");
     }
 
     @Test
@@ -174,7 +178,10 @@
                 "and changes go on");
     }
 
-    /** One helm has hardly the processor it needs: it sheds comparisons, keeps its sessions, and the group its leader. */
+    /**
+     * One controller has hardly the processor it needs: it sheds reconciliations, keeps its sessions, and the group
+     * its leader.
+     */
     @Test
     void overloadedControllerShedsAntiEntropyOnly() {
         mesh.simulator.run(8000);
--- a/src/test/java/bramblespool/cluster/QuorumTest.java
+++ b/src/test/java/bramblespool/cluster/QuorumTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a helm may say, and what the group bears, while helms are cut off, lost, replaced and leave. */
+/**
+ * What a controller may answer, and what the group tolerates, while controllers are partitioned, lost, replaced and
+ * leave.
+ */
 class QuorumTest {
     private static final int SEEDS = 10;
 
@@ -44,8 +47,8 @@
     }
 
     /**
-     * The old leader has not noticed yet that it is cut off, and another one has acknowledged a version. What the old one is
-     * asked then it does not know, and may neither refuse nor confirm.
+     * The old leader has not noticed yet that it is cut off, and another one has acknowledged a version. What the
+     * old one is asked then it does not know, and may neither refuse nor confirm.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -88,7 +91,7 @@
         assertTrue(isOneWay || askedCount > SEEDS, "it still took itself for the leader in " + askedCount);
     }
 
-    /** Nobody is sent to a helm that was the leader a while ago, nor to oneself. */
+    /** Nobody is redirected to a controller that was the leader a while ago, nor to oneself. */
     @Test
     void knownLeaderExpires() {
         SimulatedMesh mesh = newMesh(3, 3, 1);
@@ -106,7 +109,10 @@
         assertEquals(null, other.raft().leaderControlAddress(), old + " is no longer known to lead");
     }
 
-    /** Four helms, three voters: one is lost for good and another one after so long; what is there then agrees on things. */
+    /**
+     * Four controllers, three voters: one is lost for good and another one after so long; the rest still commits
+     * entries.
+     */
     @ParameterizedTest
     @CsvSource({"2000, false", "3000, true", "4000, false", "4000, true", "6000, false", "8000, false"})
     void spareReplacesLostVoterBeforeNextLoss(long delayMs, boolean isLeaderFirst) {
@@ -237,7 +243,10 @@
         }
     }
 
-    /** Eight orders at once and a repeat: who can't win any more hears so at the decision, not after the phases. */
+    /**
+     * Eight changes at once and a repeat: one that can't be committed any more is answered at the decision, not after
+     * the phases.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void decisionIsAnnouncedToAllPendingRequests(long seed) {
--- a/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
+++ b/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
@@ -35,7 +35,10 @@
         }
     }
 
-    /** One change as its caller saw it. An unsure one may have taken effect at any time from its beginning on, or never. */
+    /**
+     * One change as its caller saw it. An unsure one may have taken effect at any time from its beginning on, or
+     * never.
+     */
     private static final class Operation {
         final String value;
         final String replaces;
@@ -55,8 +58,8 @@
     }
 
     /**
-     * Whether the changes can be put in one order that agrees with the times they were seen at, and in which each that was
-     * won found what it asked for. (Wing and Gong's search; the histories are short.)
+     * Whether the changes can be put in one order that agrees with the times they were seen at, and in which each
+     * that was won found what it asked for. (Wing and Gong's search; the histories are short.)
      */
     static boolean isLinearizable(List<Operation> operations) {
         return search(operations, 0, null, new HashSet<>());
@@ -226,7 +229,7 @@
 
     private Outcome setAndAwait(String id, String value, String replaces) {
         Outcome[] outcome = new Outcome[1];
-        // Whoever lives may be asked.
+        // Any running process may be asked.
         ControllerNode at = mesh.controllers.values().iterator().next();
         at.registerProposer().compareAndSet(id, value, replaces, 1500, r -> outcome[0] = Outcome.of(r));
         for (int i = 0; i < 100 && outcome[0] == null; i++) {
@@ -305,7 +308,7 @@
             assertTrue(isWon[0]);
             minMessages[0] = Math.min(minMessages[0], mesh.simulator.messageCount - messagesBefore);
         });
-        // Two messages for the claim itself; the rest is what helms say to each other all the time.
+        // Two messages for the claim itself; the rest is what controllers send each other all the time.
         assertTrue(minMessages[0] <= 8, minMessages[0] + " messages");
         mesh.simulator.run(100_000);
         mesh.controllers
--- a/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
+++ b/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A helm that missed many changes comes back; one whose state is not the group's never leads. */
+/** A controller that missed many changes comes back; one whose state is not the group's never leads. */
 class ReplicaCatchUpTest {
     /** What else goes on while the member catches up. */
     private enum Disturbance {
@@ -47,7 +47,10 @@
         RESTARTED
     }
 
-    /** {@code caughtUpMs} -1: not within the time; {@code terms}: elections won since; {@code leaderlessMs}: without a leader. */
+    /**
+     * {@code caughtUpMs} -1: not within the time; {@code terms}: elections won since; {@code leaderlessMs}: without a
+     * leader.
+     */
     private record Result(long caughtUpMs, long terms, long leaderlessMs, long kilobytes, int mostSnapshots) {}
 
     private static final int ROUTES = 1280;
@@ -191,7 +194,7 @@
         }
     }
 
-    /** Prints what the pages tell: missed changes, routes and Mbit/s as arguments, or all. */
+    /** Prints the figures of docs/control.md: missed changes, routes and Mbit/s as arguments, or all. */
     public static void main(String[] args) {
         for (int missedChanges :
                 args.length > 0 ? new int[] {Integer.parseInt(args[0])} : new int[] {100, 120, 300, 600}) {
@@ -211,7 +214,10 @@
         }
     }
 
-    /** Behind by a snapshot and entries of large documents, on a link that carries one document in a tenth of a second. */
+    /**
+     * Behind by a snapshot and entries of large documents, on a link that carries one document in a tenth of a
+     * second.
+     */
     @ParameterizedTest
     @EnumSource(Disturbance.class)
     void memberFarBehindCatchesUpOverSlowLink(Disturbance disturbance) {
@@ -230,7 +236,10 @@
         assertEquals(0, result.terms, result.toString());
     }
 
-    /** Each message of a heartbeat's length takes many of them: who sends is near all the same, and nobody asks to lead. */
+    /**
+     * Each message of a heartbeat's length takes many of them: who sends is near all the same, and nobody asks to
+     * lead.
+     */
     @ParameterizedTest
     @EnumSource(
             value = Disturbance.class,
@@ -242,7 +251,10 @@
         assertEquals(0, result.leaderlessMs, result.toString());
     }
 
-    /** The leader depends on a member to which the least part takes longer than an election: heartbeats go beside the parts. */
+    /**
+     * The leader depends on a member to which the least part takes longer than an election: heartbeats go beside the
+     * parts.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void heartbeatsAreSentBesideLongMessages(long seed) {
@@ -322,7 +334,10 @@
         assertTrue(machine(leaderPeer).disk.load().snapshot().index() >= 64, "folded meanwhile");
     }
 
-    /** A link that carries less than is changed: the member follows by snapshots, and status says why it never has all. */
+    /**
+     * A link that carries less than is changed: the member follows by snapshots, and status says why it never has
+     * all.
+     */
     @Test
     void linkTooSlowForChangesIsReported() {
         Result result = catchUp(1, 120, ROUTES, 0.25, Disturbance.CHANGES);
@@ -375,7 +390,10 @@
         assertTrue(text.matches("(?s).*entries behind, at \\d+; \\d+ of \\d+ kB under way.*"), text);
     }
 
-    /** The leader dies when most of the snapshot is over; the next one sends the rest, for all fold at the same indices. */
+    /**
+     * The leader dies when most of the snapshot is over; the next one sends the rest, for all fold at the same
+     * indices.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void newLeaderResumesSnapshotTransfer(long seed) {
@@ -571,7 +589,7 @@
         return controller.replicatedState().evacuations().containsKey("nowhere");
     }
 
-    /** A follower's state goes astray: found at the next checkpoint, and mended without losing an entry it has. */
+    /** A follower's state diverges: found at the next checkpoint, and replaced without losing an entry it has. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void divergentFollowerAdoptsGroupState(long seed) {
@@ -589,7 +607,7 @@
             submitNext(10);
             mesh.simulator.run(100);
         }
-        assertFalse(isStateCorrupted(member), "mended after " + (version - 41) + " changes");
+        assertFalse(isStateCorrupted(member), "replaced after " + (version - 41) + " changes");
         assertTrue(version - 41 <= 10, version + " is the version by now");
         mesh.simulator.run(1000);
         assertEquals(
--- a/src/test/java/bramblespool/cluster/StaleTermTest.java
+++ b/src/test/java/bramblespool/cluster/StaleTermTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a leader says counts in its own term, and what a helm out of touch says is not taken for the newest. */
+/** A leader's messages count in its own term, and a partitioned controller's answers are not taken for the newest. */
 class StaleTermTest {
     private static final int QUIET_MS = 3000;
 
@@ -80,7 +80,7 @@
         return status[0];
     }
 
-    /** Keeps back what this leader says to cells, and to its own sides, of one phase. */
+    /** Keeps back this leader's messages of one phase to zone controllers, and to its own proxies. */
     private static List<Runnable> delayPhase(SimulatedMesh mesh, String leader, int phase, long epoch) {
         List<Runnable> delayed = new ArrayList<>();
         mesh.simulator.interceptor = (from, to, kind, message, deliver) -> {
@@ -114,8 +114,8 @@
     }
 
     /**
-     * A leader is lost while one of its phases is still in the net; it arrives while its successor's commit is under way.
-     * All sides take that commit through its phases.
+     * A leader is lost while one of its phases is still in the net; it arrives while its successor's commit is under
+     * way. All proxies take that commit through its phases.
      */
     @ParameterizedTest
     @MethodSource("phases")
@@ -144,7 +144,9 @@
         assertCommits(mesh, next, base, delayed);
     }
 
-    /** The same leader's phase is late, as out of a cell that was frozen: it arrives in the next try or the next commit. */
+    /**
+     * The same leader's phase is late, as out of a frozen zone controller: it arrives in the next attempt or commit.
+     */
     @ParameterizedTest
     @MethodSource("phases")
     void latePhaseOfEarlierCommitDoesNotDisturbNext(int phase, long seed) {
@@ -209,8 +211,9 @@
     }
 
     /**
-     * A helm has been cut off from all others while more was decided; now sides, as they start, reach it again, some of them
-     * before any other helm. They reach the other helms too, and none is ready with an old version.
+     * A controller has been partitioned from all others while more was decided; now proxies, as they start, reach it
+     * again, some of them before any other controller. They reach the other controllers too, and none is ready with
+     * an old version.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
@@ -225,7 +228,7 @@
         mesh.leader().evacuate("b", true, a -> isAcknowledged[0] = a);
         mesh.simulator.run(QUIET_MS * 6);
         assertTrue(isAcknowledged[0]);
-        // Helms in touch are slower to tell their news than the one that is not.
+        // Controllers with contact to the leader are slower to send their gossip than the one without.
         mesh.simulator.interceptor = (from, to, kind, message, deliver) -> {
             boolean isDelayed = seed > 8
                     && kind.equals("digest")
@@ -262,11 +265,14 @@
         assertEquals(
                 List.of(),
                 violations.stream().limit(2).toList(),
-                violations.size() + " times, at the helm " + partitionedSessions);
+                violations.size() + " times, at the controller " + partitionedSessions);
         assertTrue(partitionedSessions > 0);
     }
 
-    /** It starts at any time around the cut, also while the helm does not know of it yet: it is behind for a bounded time. */
+    /**
+     * It starts at any time around the cut, also while the controller does not know of it yet: it is behind for a
+     * bounded time.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void proxyStartingDuringPartitionIsCurrentWithinBound(long seed) {
@@ -313,7 +319,10 @@
         assertTrue(behindMs <= QUIET_MS * 2 / 3, "behind for " + behindMs);
     }
 
-    /** A side that has heard of a term that nobody here has led in refuses who leads now, and so leads to a higher term. */
+    /**
+     * A proxy that has seen a term that nobody here has led in rejects the present leader, and so causes a higher
+     * term.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void proxyWithHigherTermIsNeverStuck(long seed) {
@@ -340,7 +349,7 @@
         assertCommits(mesh, base + 1, base, List.of());
     }
 
-    /** A lower term is refused by cells and sides alike, and the answer names the higher one. */
+    /** A lower term is rejected by zone controllers and proxies alike, and the answer names the higher one. */
     @Test
     void messageOfLowerTermIsRejectedWithHigherTerm() {
         SimulatedMesh mesh = newMesh(3, 3, 6);
@@ -358,9 +367,9 @@
                 .put("new", 6)
                 .put("within", 200)
                 .put("doc", document(6, "late").compressedDocument);
-        ArrayNode wefts = message.putArray("wefts");
+        ArrayNode proxies = message.putArray("wefts");
         mesh.sidecars.forEach(
-                (peer, proxy) -> wefts.add(status(mesh, peer).path("node").asText()));
+                (peer, proxy) -> proxies.add(status(mesh, peer).path("node").asText()));
         int[] forwardedCount = new int[1];
         mesh.simulator.interceptor = (from, to, kind, body, deliver) -> {
             forwardedCount[0] += kind.equals("phase") ? 1 : 0;
@@ -371,7 +380,7 @@
             assertEquals(currentTerm, answer.path("term").asLong(), controllerPeer);
             assertTrue(answer.path("ok").isEmpty(), controllerPeer);
         }
-        assertEquals(0, forwardedCount[0], "cells hand it to nobody");
+        assertEquals(0, forwardedCount[0], "zone controllers forward it to nobody");
         mesh.sidecars.forEach((peer, proxy) -> {
             JsonNode answer = call(mesh, peer, "phase", message);
             assertFalse(answer.path("ok").asBoolean(), peer);
@@ -393,8 +402,8 @@
     }
 
     /**
-     * Whatever fails, a side knows no term but of somebody who has led in it, and once the helms are together again who leads
-     * does so in no lower one: also after all have lost power.
+     * Whatever fails, a proxy knows no term but of somebody who has led in it, and once the controllers are together
+     * again who leads does so in no lower one: also after all have lost power.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -465,7 +474,10 @@
         }
     }
 
-    /** A cell stands still with an order in hand or on its way, for less or more than an election takes, and thaws. */
+    /**
+     * A zone controller freezes with a message received or in flight, for less or more than an election takes, and
+     * resumes.
+     */
     @ParameterizedTest
     @MethodSource("phases")
     void resumedZoneControllerActivatesNothingStale(int phase, long seed) {
@@ -527,7 +539,7 @@
         assertCommits(mesh, currentVersion + 1, currentVersion, List.of());
     }
 
-    /** What a zone that was cut off has to tell when it is back is old, and is taken over nothing newer. */
+    /** What a partitioned zone sends when it is back is old, and replaces nothing newer. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void staleGossipOfPartitionedControllerReplacesNothingNewer(long seed) {
@@ -616,7 +628,7 @@
         assertNotNull(mesh.sidecars.get(away).shadowCommit.realConfiguration().route("x.example", "/two/"));
     }
 
-    /** With the core gone a side that starts serves what the others know and says that nobody could confirm it. */
+    /** Without controllers a proxy that starts serves what the others know, and logs that nobody could confirm it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void proxyStartedWithoutControllersServesAndIsConfirmedOnTheirReturn(long seed) {
@@ -664,7 +676,7 @@
         assertTrue(Set.of("append", "session", "digest", "news").containsAll(kinds), kinds.toString());
     }
 
-    /** The word by which a holder asks for a higher fence is lost: it asks again, and reports go on. */
+    /** The message by which an owner requests a higher fencing token is lost: it asks again, and reports go on. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void lostRequestForHigherFencingTokenIsRetried(long seed) {
@@ -683,10 +695,13 @@
         assertTrue(platform.receivedReports.stream().anyMatch(c -> c.code() == 409));
         assertTrue(
                 mesh.leader().replicatedState().singletonRoles().get("usage").fencingToken() > fencingToken,
-                "a higher fence, " + lostCount[0] + " words for it");
+                "a higher fencing token, " + lostCount[0] + " requests for it");
     }
 
-    /** Who hears of a higher term while a commit of its own is under way says no further phase, in whichever one it was. */
+    /**
+     * A leader that sees a higher term while its own commit is under way sends no further phase, in whichever one it
+     * was.
+     */
     @ParameterizedTest
     @MethodSource("phases")
     void deposedLeaderSendsNoFurtherPhase(int phase, long seed) {
@@ -719,7 +734,7 @@
         assertEquals(List.of(), violations);
     }
 
-    /** A word for a higher fence counts in the leader's own term only. */
+    /** A request for a higher fencing token counts in the leader's own term only. */
     @Test
     void requestForHigherFencingTokenCountsOnlyInItsTerm() {
         SimulatedMesh mesh = SimulatedMesh.withUsageReports(1, 4, 4, new SimulatedPlatform());
--- a/src/test/java/bramblespool/cluster/UsageReportingTest.java
+++ b/src/test/java/bramblespool/cluster/UsageReportingTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Usage reports against a platform that checks them: one content a window, one holder a fence, no change of hands and back. */
+/**
+ * Usage reports against a platform that checks them: one content a window, one owner a fencing token, no return to a
+ * former owner.
+ */
 class UsageReportingTest {
     private static final int SIDECARS = 8;
     private static final long WINDOW_MS = 5000;
@@ -76,7 +79,7 @@
             assertEquals(
                     report.owner(),
                     ownerByToken.computeIfAbsent(report.fencingToken(), f -> report.owner()),
-                    description + ": one holder to a fence");
+                    description + ": one owner to a fencing token");
             if (report.code() != 200) {
                 continue;
             }
@@ -148,7 +151,10 @@
         assertReportsConsistent("skew " + skewMs);
     }
 
-    /** How the platform may answer; what counts is that each window is said once in the end, and none is taken for said. */
+    /**
+     * How the platform may answer; what counts is that each window is said once in the end, and none is taken for
+     * said.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 200, 400, 404, 429, 500, 503, 302})
     void everyWindowIsReportedWhateverPlatformAnswers(int status) {
--- a/src/test/java/bramblespool/model/History.java
+++ b/src/test/java/bramblespool/model/History.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** What operators sent and what helms answered, each with the moments between which it took effect. */
+/** What operators sent and what controllers answered, each with the moments between which it took effect. */
 final class History {
     /** A change as an operator sends it. */
     static final class Change {
-        /** So many letters of a digest are kept in a ledger. */
+        /** So many characters of a digest are kept in the replicated state. */
         private static final int DIGEST_LENGTH = 32;
 
         final int name;
@@ -78,7 +78,7 @@
         observations.add(new Observation(startedAt, endedAt, null, number));
     }
 
-    /** Takes up the versions as a helm has agreed them. */
+    /** Takes up the versions that a controller has committed. */
     void recordCommitted(Map<String, Long> committed) {
         if (committed.size() <= versions.size() && versions.keySet().containsAll(committed.keySet())) {
             return;
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Whether all that was heard fits one register that goes through the agreed versions in their order: each refusal and
+     * Whether all answers fit one register that goes through the committed versions in their order: each rejection and
      * each read gets the first place in that order that it allows and that no earlier answer has passed.
      */
     void checkLinearizable() {
@@ -140,13 +140,13 @@
                 throw new InvariantViolation(
                         "Linearizable",
                         description + " when " + (from == 0 ? 0 : committed.get(from - 1).number)
-                                + " had been told as current, of " + versions.values());
+                                + " had been answered as current, of " + versions.values());
             }
             passed.add(new long[] {observation.endedAt, position});
         }
         for (int k = 0; k < committed.size(); k++) {
             if (lastPositionPassedBefore(passed, committed.get(k).sentAt) > k) {
-                throw new InvariantViolation("Linearizable", committed.get(k) + " was told of before it was sent");
+                throw new InvariantViolation("Linearizable", committed.get(k) + " was answered before it was sent");
             }
         }
     }
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -69,8 +69,8 @@
         boolean vote = kind.equals("vote")
                 && !request.path("pre").asBoolean()
                 && answer.path("ok").asBoolean();
-        long told = RaftView.acknowledgedIndex(kind, request, answer);
-        if (!vote && told == 0) {
+        long acknowledgedIndex = RaftView.acknowledgedIndex(kind, request, answer);
+        if (!vote && acknowledgedIndex == 0) {
             return;
         }
         DurableStore.PersistentState saved = machine.disk.load();
@@ -88,7 +88,7 @@
                 : saved.entries().get(saved.entries().size() - 1).index();
         if (vote
                 ? saved.currentTerm() < term || !request.path("from").asText().equals(saved.votedFor())
-                : last < told) {
+                : last < acknowledgedIndex) {
             throw new InvariantViolation(
                     "DurableBeforeTold", member + " says yes to " + kind + " before its disk has it");
         }
@@ -207,7 +207,7 @@
                 && replayed(saved).isCommitted(change.digest);
     }
 
-    /** Who folds what a disk holds into a ledger: what this helm would know were it alone and all there agreed. */
+    /** Applies what a disk holds: the state of this controller were it alone and all its entries committed. */
     private static ReplicatedState replayed(DurableStore.PersistentState saved) {
         ReplicatedState replayedState = new ReplicatedState();
         if (saved.snapshot() != null && saved.snapshot().data() != null) {
@@ -307,7 +307,7 @@
         mesh.sidecars.forEach(this::checkSidecar);
     }
 
-    /** Two helms that have applied the same entries know the same. */
+    /** Two controllers that have applied the same entries have the same state. */
     private void checkState(long index, String state, String member) {
         String other = stateByIndex.putIfAbsent(index, state);
         if (other != null && !other.equals(state)) {
--- a/src/test/java/bramblespool/model/OperatorClient.java
+++ b/src/test/java/bramblespool/model/OperatorClient.java
@@ -15,10 +15,10 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Those who give orders: each order goes to helm after helm, the same bytes, until it has a clear answer. */
+/** The operators: each request goes to controller after controller, the same bytes, until it has a clear answer. */
 final class OperatorClient {
     static final String PEER = "10.8.0.1:7000";
-    /** Silence after which another helm is asked, and the pauses before that. */
+    /** Silence after which another controller is asked, and the backoff before that. */
     private static final long TIMEOUT_MS = 1000;
 
     private static final long FIRST_BACKOFF_MS = 50;
@@ -58,9 +58,9 @@
     private int markCount;
     private boolean isStopped;
 
-    OperatorClient(Simulator world, Supplier<List<String>> helms, History history) {
+    OperatorClient(Simulator world, Supplier<List<String>> controllers, History history) {
         this.simulator = world;
-        this.controllers = helms;
+        this.controllers = controllers;
         this.history = history;
         machine = world.machine(PEER);
         machine.boot();
@@ -72,7 +72,7 @@
         isStopped = true;
     }
 
-    /** {@code to}: the helm to ask first. */
+    /** {@code to}: the controller to ask first. */
     OperatorCall submitChange(int name, long increment, String controller, Consumer<OperatorCall> onDone) {
         long number = knownVersion + increment;
         String document = SimulatedMesh.document(number, knownVersion, "p" + name);
--- a/src/test/java/bramblespool/model/OperatorEndpoint.java
+++ b/src/test/java/bramblespool/model/OperatorEndpoint.java
@@ -10,16 +10,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** A helm as its peers and operators reach it: what its process does with an order, without the HTTP around it. */
+/** A controller as its peers and operators reach it: what its process does with an operator's request, without HTTP. */
 final class OperatorEndpoint implements PeerTransport.RequestHandler {
     static final String KIND = "operator";
 
     private final ControllerNode controller;
     private final ScheduleRunner runner;
 
-    OperatorEndpoint(ControllerNode helm, ScheduleRunner play) {
-        this.controller = helm;
-        this.runner = play;
+    OperatorEndpoint(ControllerNode controller, ScheduleRunner runner) {
+        this.controller = controller;
+        this.runner = runner;
     }
 
     @Override
--- a/src/test/java/bramblespool/model/RaftView.java
+++ b/src/test/java/bramblespool/model/RaftView.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 
-/** All that the model reads of a helm's agreement. */
+/** All that the model reads of a controller's consensus state. */
 final class RaftView {
     private RaftView() {}
 
--- a/src/test/java/bramblespool/model/Schedule.java
+++ b/src/test/java/bramblespool/model/Schedule.java
@@ -17,7 +17,10 @@
         int toleratedLosses,
         boolean isBeyondBudget,
         List<ScheduleStep> steps) {
-    /** The time from the start of a mesh, or of a machine, until it is owed all, and how long the core is given to settle. */
+    /**
+     * How long after its start a mesh or a machine owes everything, and how long the controllers get to become
+     * stable.
+     */
     static final long CATCH_UP_MS = 4000;
 
     static final long QUIET_MS = 3000;
--- a/src/test/java/bramblespool/model/ScheduleGenerator.java
+++ b/src/test/java/bramblespool/model/ScheduleGenerator.java
@@ -9,15 +9,15 @@
 final class ScheduleGenerator {
     /** What a schedule is about. */
     enum Theme {
-        /** The leader or another helm is cut off; orders to it during the cut and as it ends. */
+        /** The leader or another controller is partitioned; requests to it during the partition and as it ends. */
         CUT_OFF,
         /** Rivals on one version, lost answers, repeats, many at once. */
         RIVALS,
         /** Losses in turn, as close as the budget allows. */
         TURNS,
-        /** Many changes while a helm is away. */
+        /** Many changes while a controller is away. */
         AWAY,
-        /** Everything goes at once, right after an order. */
+        /** Everything fails at once, right after a request. */
         CLOSING,
         /** More is cut, frozen and killed than the budget allows, with disks kept: what is agreed must bear that. */
         BEYOND,
--- a/src/test/java/bramblespool/model/ScheduleRunner.java
+++ b/src/test/java/bramblespool/model/ScheduleRunner.java
@@ -12,7 +12,10 @@
     private static final int FIRST_ORDER = 1000;
     private static final int LAST_ORDER = 1001;
     private static final int FIRST_BULK_ORDER = 2000;
-    /** How often a leader is looked for after the last fault, and what an operator's own hops may take beyond {@code ack}. */
+    /**
+     * How often a leader is looked for after the last fault, and what an operator's own hops may take beyond {@code
+     * ack}.
+     */
     private static final long HOP_MS = 100;
 
     private final Schedule schedule;
@@ -21,13 +24,13 @@
     final History history = new History();
     final Invariants invariants;
     final OperatorClient operators;
-    /** Helms there have been, by number; null where one is gone for good. */
+    /** All controllers so far, by number; null where one is gone for good. */
     private final List<String> controllers = new ArrayList<>();
 
     private String leader;
     private String previousLeader;
     private int nextBulkOrder = FIRST_BULK_ORDER;
-    /** What begins as soon as another helm leads. */
+    /** What begins as soon as another controller leads. */
     private final List<Runnable> onLeaderChange = new ArrayList<>();
 
     private ScheduleRunner(Schedule schedule) {
@@ -117,7 +120,7 @@
         }
         history.checkLinearizable();
         long currentVersion = mesh.leader().replicatedState().current().epoch();
-        // The version of the newest acknowledgement, unless one that nobody heard of came after it.
+        // The version of the newest acknowledgement, unless one whose acknowledgement was lost came after it.
         long applyDeadlineMs = simulator.nowMs() + Schedule.APPLICATION_MS;
         while (simulator.nowMs() < applyDeadlineMs && !all(currentVersion)) {
             simulator.run(HOP_MS);
@@ -174,7 +177,7 @@
 
     // ---- steps
 
-    /** The helm that a step names, or null where there is none. */
+    /** The controller that a step names, or null where there is none. */
     private String controllerFor(String target) {
         switch (target.charAt(0)) {
             case 'L' -> {
@@ -317,7 +320,7 @@
         }
     }
 
-    /** A process that was told to end does so when the group can do without it, or when its time is up. */
+    /** A process that is shutting down ends when the group can do without it, or when its time is up. */
     private void finishLeaving(String peer, ControllerNode controller, ScheduleStep step, long deadlineMs) {
         if (mesh.controllers.get(peer) != controller) {
             return;
--- a/src/test/java/bramblespool/model/ScheduleStep.java
+++ b/src/test/java/bramblespool/model/ScheduleStep.java
@@ -1,12 +1,12 @@
 package bramblespool.model;
 
 /**
- * One thing that happens in a schedule. {@code who}: a helm by its number from 1, {@code L} for who leads then, {@code O}
- * for who led before it, {@code F} for some other helm that runs, {@code ?} for any; {@code ms}: how long; {@code n}: what
- * else the kind needs.
+ * One thing that happens in a schedule. {@code who}: a controller by its number from 1, {@code L} for the leader then,
+ * {@code O} for the one before it, {@code F} for some other controller that runs, {@code ?} for any; {@code ms}: how
+ * long; {@code n}: what else the kind needs.
  */
 record ScheduleStep(long atMs, Kind kind, String target, long durationMs, int argument) {
-    /** How long a helm that is told to end may take for it. */
+    /** How long a controller may take for a graceful end. */
     static final long GRACE_MS = 3000;
 
     enum Kind {
@@ -19,15 +19,18 @@
         EVACUATE,
         /** So many changes, each as soon as the last one is acknowledged. */
         MANY,
-        /** n changes, by turns to who leads and to who, each as soon as the last one is acknowledged; begins as another leads. */
+        /**
+         * n changes, by turns to who leads and to who, each as soon as the last one is acknowledged; begins as
+         * another leads.
+         */
         CHAIN,
-        /** Cut from the other helms; n: 0 both ways, 1 what it sends, 2 what it is sent. */
+        /** Cut from the other controllers; n: 0 both ways, 1 what it sends, 2 what it is sent. */
         CUT,
-        /** Cut from everybody, operators and wefts too. */
+        /** Cut from everybody, operators and sidecars too. */
         ISOLATE,
-        /** The helms whose bits are set in n are cut from the others. */
+        /** The controllers whose bits are set in n are cut from the others. */
         SPLIT,
-        /** One link, from who to helm n. */
+        /** One link, from who to controller n. */
         LINK_CUT,
         /** n: whether timers go before messages after it. */
         FREEZE,
@@ -37,12 +40,12 @@
         WIPE,
         /** Gone for good; another machine starts after ms. */
         REPLACE,
-        /** Ends as told, and is back after ms. */
+        /** Ends gracefully, and is back after ms. */
         LEAVE,
         SPARE,
         ALL_KILLED,
         ALL_POWER,
-        /** n helms lose their disks and all others lose power. */
+        /** n controllers lose their disks and all others lose power. */
         CLOSING,
         /** Each sync takes n ms more. */
         SLOW_DISK,
@@ -110,7 +113,7 @@
         return kind == Kind.WIPE || kind == Kind.REPLACE || kind == Kind.CLOSING;
     }
 
-    /** Whether the core is unsettled by it, or operators cannot hear it. */
+    /** Whether the controllers are disturbed by it, or operators cannot reach them. */
     boolean isFault() {
         return !kind.isOrder() && kind != Kind.WEFT_CUT && kind != Kind.WEFT_KILLED;
     }
--- a/src/test/java/bramblespool/testing/SimulatedMesh.java
+++ b/src/test/java/bramblespool/testing/SimulatedMesh.java
@@ -16,7 +16,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Helms and wefts of several zones on a simulated world, with an operator who follows the leader. */
+/**
+ * Controllers, sidecars and gateways of several zones in a {@link Simulator}, with an operator who follows the
+ * leader.
+ */
 public final class SimulatedMesh {
     public final Simulator simulator;
     public final Map<String, ControllerNode> controllers = new LinkedHashMap<>();
@@ -59,7 +62,10 @@
         this(seed, controllerCount, sidecarCount, 1, null);
     }
 
-    /** {@code losses}: the disks that may be lost at one time; {@code platform}: who keeps the list, or null for a mesh. */
+    /**
+     * {@code losses}: the disks that may be lost at one time; {@code platform}: who keeps the list, or null for a
+     * mesh.
+     */
     public SimulatedMesh(
             long seed, int controllerCount, int proxyCount, int toleratedDiskLosses, SimulatedPlatform platform) {
         this(seed, controllerCount, proxyCount, toleratedDiskLosses, platform, false);
@@ -299,7 +305,7 @@
         }
     }
 
-    /** Sends a change to whoever leads now; nothing is heard where nobody does or the leader goes. */
+    /** Sends a change to the present leader; there is no answer where there is none or the leader is lost. */
     public void submitToLeader(OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> onOutcome) {
         ControllerNode controller = leader();
         if (controller != null) {
--- a/src/test/java/bramblespool/testing/Simulator.java
+++ b/src/test/java/bramblespool/testing/Simulator.java
@@ -39,7 +39,10 @@
     private long nextSequence;
     private final Map<String, Machine> machines = new HashMap<>();
     private long logicalTime;
-    /** The share of messages, and of answers, that are lost, or that arrive twice; how much later than others one may be. */
+    /**
+     * The share of messages, and of answers, that are lost, or that arrive twice; how much later than others one may
+     * be.
+     */
     public double lossProbability;
 
     public double duplicationProbability;
@@ -139,7 +142,7 @@
         }
     }
 
-    /** A machine with one process at a time; each start is a new life. */
+    /** A machine with one process at a time; each start is a new incarnation. */
     public final class Machine implements PeerTransport, Clock {
         public final String peer;
         /** Bytes that its link carries in a millisecond, each way; 0: any number. */
@@ -368,7 +371,10 @@
             }
         }
 
-        /** After how long the last byte of a message sent now has arrived at the other end of its own link and the net. */
+        /**
+         * After how long the last byte of a message sent now has arrived at the other end of its own link and the
+         * net.
+         */
         private long transmitDelayMs(int sizeBytes) {
             uplinkFreeAtMs = Math.max(nowMs, uplinkFreeAtMs) + (linkBytesPerMs > 0 ? sizeBytes / linkBytesPerMs : 0);
             return (long) (uplinkFreeAtMs - nowMs) + 1 + random.nextInt(3);
