--- a/src/test/java/bramblespool/cluster/ConnectionLimitsTest.java
+++ b/src/test/java/bramblespool/cluster/ConnectionLimitsTest.java
@@ -5,24 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bramblespool.process.ControllerProcess;
-import bramblespool.process.SidecarProcess;
 import bramblespool.state.EventLog;
-import bramblespool.state.InvalidSettingsException;
-import bramblespool.state.Settings;
-import bramblespool.state.SettingsParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.transport.EventLoop;
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketException;
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -36,83 +28,27 @@
     @TempDir
     Path dir;
 
-    private final int[] ports = new int[6];
-    private static final String SIDECAR_IP = "127.0.0.5";
-    private static final String CONTROLLER_IP = "127.0.0.6";
+    private LoopbackMesh mesh;
 
     @BeforeEach
     void start() throws Exception {
-        ServerSocket[] reservedPorts = new ServerSocket[ports.length];
-        for (int i = 0; i < ports.length; i++) {
-            reservedPorts[i] = new ServerSocket(0, 1, InetAddress.getByName(SIDECAR_IP));
-            ports[i] = reservedPorts[i].getLocalPort();
-        }
-        for (ServerSocket reserved : reservedPorts) {
-            reserved.close();
-        }
-        EventLoop loop = new EventLoop(EventLog.silent());
-        CountDownLatch started = new CountDownLatch(1);
-        Settings controllerSettings = settings("core", CONTROLLER_IP);
-        Settings sidecarSettings = settings("sidecar", SIDECAR_IP);
-        loop.post(() -> {
-            try {
-                new ControllerProcess(controllerSettings, loop, EventLog.silent());
-                new SidecarProcess(sidecarSettings, loop, EventLog.silent());
-            } catch (Exception e) {
-                throw new IllegalStateException(e);
-            }
-            started.countDown();
-        });
-        started.await();
+        mesh = new LoopbackMesh("127.0.0.5", "127.0.0.6");
+        mesh.start(new EventLoop(EventLog.silent()), dir, "");
         configure(3, 0, IDLE_MS, 1000);
     }
 
-    private Settings settings(String machineClass, String ip) throws InvalidSettingsException {
-        return SettingsParser.parse(
-                """
-                node = "%1$s-1"
-                machineClass = "%1$s"
-                ip = "%2$s"
-                zone = "z"
-                portRange = [%3$d, %3$d]
-                seedPeers = ["%4$s:%5$d"]
-                bootstrap = true
-                dataDir = "%6$s"
-                appAddr = "%2$s:1"
-                target = "desk"
-                [listeners]
-                control = "%2$s:%5$d"
-                inbound = "%2$s:%7$d"
-                outbound = "%2$s:%8$d"
-                ready = "%2$s:%9$d"
-                [limits]
-                memoryMb = 0
-                %10$s                """.formatted(
-                                machineClass,
-                                ip,
-                                ports[0],
-                                CONTROLLER_IP,
-                                ports[1],
-                                dir,
-                                ports[2],
-                                ports[3],
-                                ports[4],
-                                SimulatedMesh.BOUNDS),
-                "test");
-    }
-
     /** Puts a version in force, whose only prefix is its number, and waits until the sidecar knows no other. */
     private void configure(int epoch, int base, int idleMs, int bodyBytes) throws IOException {
         String body = SimulatedMesh.document(epoch, base, "p" + epoch)
                 .replace("\"15s\"", "\"" + idleMs + "ms\"")
                 .replace("1000000", Integer.toString(bodyBytes));
         awaitStatus(
-                CONTROLLER_IP,
-                ports[1],
+                mesh.controllerIp,
+                mesh.controlPort,
                 "POST /bramblespool/config/replace HTTP/1.1\r\nHost: h\r\nContent-Length: " + body.length() + "\r\n\r\n"
                         + body,
                 "200");
-        awaitStatus(SIDECAR_IP, ports[3], get("/p" + base + "/x"), "404");
+        awaitStatus(mesh.sidecarIp, mesh.outboundPort, get("/p" + base + "/x"), "404");
     }
 
     private static String get(String path) {
@@ -148,7 +84,7 @@
 
     @Test
     void idleConnectionIsClosedAfterTimeoutAndKeptLongerOnceTimeoutIsRaised() throws Exception {
-        try (Socket idleSocket = new Socket(SIDECAR_IP, ports[3])) {
+        try (Socket idleSocket = new Socket(mesh.sidecarIp, mesh.outboundPort)) {
             idleSocket.setSoTimeout(IDLE_MS * 10);
             assertEquals("404", exchange(idleSocket, get("/nowhere/")));
             long startNs = System.nanoTime();
@@ -157,7 +93,7 @@
                     System.nanoTime() - startNs >= IDLE_MS * 1_000_000L * 4 / 5,
                     "but not within what clients count on");
         }
-        try (Socket keptSocket = new Socket(SIDECAR_IP, ports[3])) {
+        try (Socket keptSocket = new Socket(mesh.sidecarIp, mesh.outboundPort)) {
             assertEquals("404", exchange(keptSocket, get("/nowhere/")));
             configure(5, 3, IDLE_MS * 100, 1000);
             keptSocket.setSoTimeout(IDLE_MS * 2);
@@ -174,7 +110,7 @@
         String large = "POST /p5/x HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: a\r\nContent-Length: 2000\r\n\r\n"
                 + "x".repeat(2000);
         configure(4, 3, IDLE_MS * 100, 1000);
-        try (Socket socket = new Socket(SIDECAR_IP, ports[3])) {
+        try (Socket socket = new Socket(mesh.sidecarIp, mesh.outboundPort)) {
             assertEquals("404", exchange(socket, get("/nowhere/")));
             configure(5, 4, IDLE_MS * 100, 4000);
             assertEquals("503", exchange(socket, large));
@@ -192,8 +128,8 @@
         "request, /p3/x"
     })
     void truncatedBodyIsNeverAcknowledged(String kind, String path) throws Exception {
-        String host = kind.equals("order") ? CONTROLLER_IP : SIDECAR_IP;
-        int portNumber = kind.equals("request") ? ports[3] : ports[1];
+        String host = kind.equals("order") ? mesh.controllerIp : mesh.sidecarIp;
+        int portNumber = kind.equals("request") ? mesh.outboundPort : mesh.controlPort;
         String chunked = "Transfer-Encoding: chunked\r\n\r\n";
         for (String body : List.of(chunked + "zz\r\n", chunked + "5\r\nab", "Content-Length: 5\r\n\r\nab")) {
             try (Socket socket = new Socket(host, portNumber)) {
@@ -213,20 +149,20 @@
     @Test
     void oversizedBodyIsAnswered413() throws Exception {
         String head = " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: a\r\n";
-        try (Socket socket = new Socket(CONTROLLER_IP, ports[1])) {
+        try (Socket socket = new Socket(mesh.controllerIp, mesh.controlPort)) {
             assertEquals(
                     "413",
                     exchange(
                             socket,
                             "POST /bramblespool/config/replace" + head + "Content-Length: " + (17 << 20) + "\r\n\r\n"));
         }
-        try (Socket socket = new Socket(SIDECAR_IP, ports[3])) {
+        try (Socket socket = new Socket(mesh.sidecarIp, mesh.outboundPort)) {
             assertEquals("413", exchange(socket, "POST /p3/x" + head + "Content-Length: 2000\r\n\r\n"));
         }
         // Without a length it is found out too late for an answer.
         awaitStatus(
-                SIDECAR_IP,
-                ports[3],
+                mesh.sidecarIp,
+                mesh.outboundPort,
                 "POST /p3/x" + head + "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + "x".repeat(2000) + "\r\n0\r\n\r\n",
                 "closed");
     }
--- a/src/test/java/bramblespool/cluster/HttpFramingTest.java
+++ b/src/test/java/bramblespool/cluster/HttpFramingTest.java
@@ -5,26 +5,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import bramblespool.coordination.tenancy.TenantsOfOneShard;
-import bramblespool.process.ControllerProcess;
-import bramblespool.process.SidecarProcess;
 import bramblespool.state.EventLog;
-import bramblespool.state.InvalidSettingsException;
-import bramblespool.state.Settings;
-import bramblespool.state.SettingsParser;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.transport.EventLoop;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.InputStream;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import java.util.List;
-import java.util.concurrent.CopyOnWriteArrayList;
-import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -40,15 +29,13 @@
     @TempDir
     static Path dir;
 
-    private static final int[] PORTS = new int[7];
-    private static final List<String> SERVER_REQUESTS = new CopyOnWriteArrayList<>();
+    private static final MisbehavingServer SERVER = new MisbehavingServer();
+    private static LoopbackMesh mesh;
     /** Loopback addresses of this process alone: ports that are free stay so until they are listened at. */
     private static final String LOOPBACK_PREFIX =
             "127." + (1 + ProcessHandle.current().pid() / 250 % 250) + "."
                     + ProcessHandle.current().pid() % 250;
 
-    private static final String SIDECAR_IP = LOOPBACK_PREFIX + ".3";
-    private static final String CONTROLLER_IP = LOOPBACK_PREFIX + ".4";
     /** Whatever takes so long hangs; nothing is expected to come near it. */
     private static final int HANG_TIMEOUT_MS = 120_000;
 
@@ -81,32 +68,10 @@
 
     @BeforeAll
     static void start() throws Exception {
-        ServerSocket[] reservedPorts = new ServerSocket[PORTS.length];
-        for (int i = 0; i < PORTS.length; i++) {
-            reservedPorts[i] = new ServerSocket(0, 1, InetAddress.getByName(SIDECAR_IP));
-            PORTS[i] = reservedPorts[i].getLocalPort();
-        }
-        for (ServerSocket reserved : reservedPorts) {
-            reserved.close();
-        }
-        ServerSocket serverSocket = new ServerSocket(PORTS[0], 50, InetAddress.getByName(SIDECAR_IP));
-        Thread thread = new Thread(() -> acceptConnections(serverSocket), "stand-in");
-        thread.setDaemon(true);
-        thread.start();
+        mesh = new LoopbackMesh(LOOPBACK_PREFIX + ".3", LOOPBACK_PREFIX + ".4");
+        SERVER.start(mesh.sidecarIp, mesh.serverPort);
         SlowLoop loop = new SlowLoop();
-        CountDownLatch started = new CountDownLatch(1);
-        Settings controllerSettings = settings("core", CONTROLLER_IP);
-        Settings sidecarSettings = settings("sidecar", SIDECAR_IP);
-        loop.post(() -> {
-            try {
-                new ControllerProcess(controllerSettings, loop, EventLog.silent());
-                new SidecarProcess(sidecarSettings, loop, EventLog.silent());
-            } catch (Exception e) {
-                throw new IllegalStateException(e);
-            }
-            started.countDown();
-        });
-        started.await();
+        mesh.start(loop, dir, "beat = \"1000s\"\n");
         // The first route is open to all; the others want a key, and one of them an operation key as well.
         String configuration = SimulatedMesh.document(3, 0, "a")
                 .replace("\"idempotent\"", "\"mutating\"")
@@ -122,15 +87,22 @@
                                 + "[\"" + TenantsOfOneShard.sharingShardWith("few")
                                 + "\",[\"key-5\"],null,0.01,1]]},\"limits\"");
         awaitResponse(
-                () -> exchange(CONTROLLER_IP, PORTS[1], postRequest("/bramblespool/config/replace", configuration)),
+                () -> exchange(
+                        mesh.controllerIp,
+                        mesh.controlPort,
+                        postRequest("/bramblespool/config/replace", configuration)),
                 "HTTP/1.1 200");
-        String heartbeat = "{\"target\":\"desk\",\"address\":\"" + SIDECAR_IP + ":" + PORTS[0]
+        String heartbeat = "{\"target\":\"desk\",\"address\":\"" + mesh.sidecarIp + ":" + mesh.serverPort
                 + "\",\"zone\":\"z\",\"capacity\":4,\"state\":\"ready\",\"warmupLeft\":\"0ms\",\"callSeq\":1}";
         awaitResponse(
-                () -> exchange(SIDECAR_IP, PORTS[1], postRequest("/bramblespool/servers/i-1/heartbeat", heartbeat)),
+                () -> exchange(
+                        mesh.sidecarIp,
+                        mesh.controlPort,
+                        postRequest("/bramblespool/servers/i-1/heartbeat", heartbeat)),
                 "HTTP/1.1 200");
         awaitResponse(
-                () -> exchange(SIDECAR_IP, PORTS[4], "GET /bramblespool/readiness HTTP/1.1\r\nHost: h\r\n\r\n"),
+                () -> exchange(
+                        mesh.sidecarIp, mesh.readyPort, "GET /bramblespool/readiness HTTP/1.1\r\nHost: h\r\n\r\n"),
                 "HTTP/1.1 200");
         loop.startSlowing();
         // A controller that has just started grants no leases yet.
@@ -153,140 +125,10 @@
         assertTrue(response.startsWith(expectedPrefix), response);
     }
 
-    private static Settings settings(String machineClass, String ip) throws InvalidSettingsException {
-        return SettingsParser.parse(
-                """
-                node = "%1$s-1"
-                machineClass = "%1$s"
-                ip = "%2$s"
-                zone = "z"
-                portRange = [%3$d, %3$d]
-                seedPeers = ["%12$s:%4$d"]
-                bootstrap = true
-                beat = "1000s"
-                dataDir = "%5$s"
-                appAddr = "%6$s:%7$d"
-                target = "desk"
-                [listeners]
-                control = "%2$s:%4$d"
-                inbound = "%2$s:%8$d"
-                outbound = "%2$s:%9$d"
-                ready = "%2$s:%10$d"
-                [limits]
-                memoryMb = 0
-                %11$s                """.formatted(
-                                machineClass,
-                                ip,
-                                PORTS[5],
-                                PORTS[1],
-                                dir,
-                                SIDECAR_IP,
-                                PORTS[0],
-                                PORTS[2],
-                                PORTS[3],
-                                PORTS[4],
-                                SimulatedMesh.BOUNDS,
-                                CONTROLLER_IP),
-                "test");
-    }
-
     private static String postRequest(String path, String body) {
         return "POST " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static void acceptConnections(ServerSocket serverSocket) {
-        while (true) {
-            try {
-                Socket connection = serverSocket.accept();
-                Thread thread = new Thread(() -> serveAsServer(connection), "stand-in connection");
-                thread.setDaemon(true);
-                thread.start();
-            } catch (IOException e) {
-                return;
-            }
-        }
-    }
-
-    /** Serves requests without bodies, or with bodies of a declared length, in the manner that the path names. */
-    private static void serveAsServer(Socket socket) {
-        try (socket) {
-            String previousIdHeaders = "";
-            while (true) {
-                String head = readHead(socket.getInputStream());
-                if (head.isEmpty()) {
-                    return;
-                }
-                int length = head.contains("Content-Length: ")
-                        ? Integer.parseInt(head.split("Content-Length: ")[1].split("\r\n")[0].strip())
-                        : 0;
-                String body = new String(socket.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
-                SERVER_REQUESTS.add(head + body);
-                String idHeaders = "X-Attempt-Id: "
-                        + head.split("X-Attempt-Id: ")[1].split("\r\n")[0] + "\r\nX-Server-Seal: s\r\n";
-                String success = "HTTP/1.1 200 OK\r\n" + idHeaders + "Content-Length: 4\r\n\r\ngood";
-                String reply = head.contains("/short")
-                        ? "HTTP/1.1 200 OK\r\n" + idHeaders + "Content-Length: 900\r\n\r\nhalf"
-                        : head.contains("/garbage")
-                                ? "\u0001\u0002 nonsense\r\n\r\n"
-                                : head.contains("/extra")
-                                        ? success + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra"
-                                        : head.contains("/other")
-                                                ? success.replace("Attempt-Id: ", "Attempt-Id: not-")
-                                                : head.contains("/endless")
-                                                        ? "HTTP/1.1 200 OK\r\n" + idHeaders + "\r\ngood"
-                                                        : head.contains("/long")
-                                                                ? "HTTP/1.1 200 OK\r\n" + idHeaders
-                                                                        + "Content-Length: 300000\r\n\r\n"
-                                                                        + "x".repeat(200000)
-                                                                : head.contains("/shed")
-                                                                        ? "HTTP/1.1 503 No\r\n" + idHeaders
-                                                                                + "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-                                                                        : head.contains("/surplus")
-                                                                                ? "HTTP/1.1 503 No\r\nX-Attempt-Id: old\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-                                                                                : head.contains("/misled")
-                                                                                        ? "HTTP/1.1 421 No\r\nX-Attempt-Id: old\r\nContent-Length: 0\r\n\r\n"
-                                                                                        : head.contains("/nameless")
-                                                                                                ? success.replace(
-                                                                                                        "X-Attempt-Id",
-                                                                                                        "X-Other")
-                                                                                                : previousIdHeaders
-                                                                                                                        .isEmpty()
-                                                                                                                || !head
-                                                                                                                        .contains(
-                                                                                                                                "/victim")
-                                                                                                        ? success
-                                                                                                        : "HTTP/1.1 200 OK\r\n"
-                                                                                                                + previousIdHeaders
-                                                                                                                + "Content-Length: 4\r\n\r\nlate"
-                                                                                                                + success;
-                previousIdHeaders = head.contains("/stutter") ? idHeaders : "";
-                socket.getOutputStream().write(reply.getBytes(StandardCharsets.ISO_8859_1));
-                socket.getOutputStream().flush();
-                if (head.contains("/short")
-                        || head.contains("/garbage")
-                        || head.contains("/endless")
-                        || head.contains("/long")) {
-                    return;
-                }
-            }
-        } catch (IOException | RuntimeException e) {
-            // The connection is over.
-        }
-    }
-
-    private static String readHead(InputStream input) throws IOException {
-        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
-        int octet;
-        while ((octet = input.read()) >= 0) {
-            buffer.write(octet);
-            if (buffer.size() >= 4
-                    && buffer.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-                break;
-            }
-        }
-        return buffer.toString(StandardCharsets.ISO_8859_1);
-    }
-
     /** What comes back until it is one whole answer, or the connection ends. */
     private static String exchange(String ip, int port, String request) throws IOException {
         try (Socket socket = new Socket(ip, port)) {
@@ -323,8 +165,8 @@
 
     private static String sendGet(String path, String moreHeaders) throws IOException {
         return exchange(
-                SIDECAR_IP,
-                PORTS[3],
+                mesh.sidecarIp,
+                mesh.outboundPort,
                 "GET " + path + " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: t" + path.hashCode()
                         + "\r\nX-Deadline-Ms: 1500\r\n" + moreHeaders + "\r\n");
     }
@@ -389,10 +231,10 @@
                 "X-Attempt-Id: again|400"
             })
     void ambiguousFramingIsRejectedAndConnectionClosed(String header, int status) throws IOException {
-        int requestsBefore = SERVER_REQUESTS.size();
+        int requestsBefore = SERVER.requests().size();
         String response = sendGet("/a/doubt", header.replace("\\r\\n", "\r\n") + "\r\n");
         assertTrue(response.startsWith("HTTP/1.1 " + status + " ") && response.contains("close"), response);
-        assertEquals(requestsBefore, SERVER_REQUESTS.size(), "nothing is passed on");
+        assertEquals(requestsBefore, SERVER.requests().size(), "nothing is passed on");
     }
 
     @Test
@@ -401,7 +243,7 @@
                 "/a/forged%2F?q=%20",
                 "X-Caller-Service: boss\r\nX-Target-Instance: i-9\r\nX-Spool-Mark: t9\r\nX-Kept: yes\r\n");
         assertTrue(response.startsWith("HTTP/1.1 200"), response);
-        String forwarded = SERVER_REQUESTS.stream()
+        String forwarded = SERVER.requests().stream()
                 .filter(s -> s.contains("/a/forged"))
                 .reduce((a, b) -> b)
                 .orElseThrow();
@@ -418,15 +260,15 @@
     @Test
     void bodiesArriveCompleteByLengthAndChunked() throws IOException {
         String head = "POST /a/body HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: b1\r\nX-Deadline-Ms: 1500\r\n";
-        assertTrue(exchange(SIDECAR_IP, PORTS[3], head + "Content-Length: 5\r\n\r\nfirst")
+        assertTrue(exchange(mesh.sidecarIp, mesh.outboundPort, head + "Content-Length: 5\r\n\r\nfirst")
                 .startsWith("HTTP/1.1 200"));
         assertTrue(exchange(
-                        SIDECAR_IP,
-                        PORTS[3],
+                        mesh.sidecarIp,
+                        mesh.outboundPort,
                         head + "Transfer-Encoding: chunked\r\n\r\n3\r\nsec\r\n3\r\nond\r\n0\r\n\r\n")
                 .startsWith("HTTP/1.1 200"));
-        assertTrue(SERVER_REQUESTS.stream().anyMatch(s -> s.endsWith("\r\n\r\nfirst")));
-        assertTrue(SERVER_REQUESTS.stream().anyMatch(s -> s.endsWith("\r\n\r\nsecond")));
+        assertTrue(SERVER.requests().stream().anyMatch(s -> s.endsWith("\r\n\r\nfirst")));
+        assertTrue(SERVER.requests().stream().anyMatch(s -> s.endsWith("\r\n\r\nsecond")));
     }
 
     @Test
@@ -434,8 +276,8 @@
         String requestTemplate =
                 "GET /a/p HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: 1500\r\n\r\n";
         String response = exchange(
-                SIDECAR_IP,
-                PORTS[3],
+                mesh.sidecarIp,
+                mesh.outboundPort,
                 requestTemplate.formatted("p1")
                         + requestTemplate.formatted("p2").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
         int first = response.indexOf("X-Attempt-Id: p1");
@@ -459,10 +301,10 @@
     })
     void callRunsUnderItsMarkAndServiceOrNotAtAll(String mark, String service, String path, int status, String verdict)
             throws IOException {
-        int requestsBefore = SERVER_REQUESTS.size();
+        int requestsBefore = SERVER.requests().size();
         String response = exchange(
-                SIDECAR_IP,
-                PORTS[2],
+                mesh.sidecarIp,
+                mesh.inboundPort,
                 "GET " + path + " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: c1\r\n"
                         + "X-Deadline-Ms: 1500\r\nX-Spool-From: peer\r\n"
                         + (mark == null ? "" : "X-Spool-Mark: " + mark + "\r\n")
@@ -471,7 +313,7 @@
                 response.startsWith("HTTP/1.1 " + status + " ")
                         && response.contains("X-Spool-Verdict: " + verdict + "\r\n"),
                 response);
-        assertEquals(status == 200 ? 1 : 0, SERVER_REQUESTS.size() - requestsBefore, "what reached the server");
+        assertEquals(status == 200 ? 1 : 0, SERVER.requests().size() - requestsBefore, "what reached the server");
     }
 
     @ParameterizedTest
@@ -488,12 +330,12 @@
                 "/a/ok|Authorization: Token none\\r\\n|401|"
             })
     void tenantIsDeterminedByApiKeyOnly(String path, String headers, int status, String tenant) throws IOException {
-        int requestsBefore = SERVER_REQUESTS.size();
+        int requestsBefore = SERVER.requests().size();
         String response = sendGet(path, headers == null ? "" : headers.replace("\\r\\n", "\r\n"));
         assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
-        assertEquals(status == 200 ? 1 : 0, SERVER_REQUESTS.size() - requestsBefore);
+        assertEquals(status == 200 ? 1 : 0, SERVER.requests().size() - requestsBefore);
         if (status == 200) {
-            String forwarded = SERVER_REQUESTS.get(requestsBefore);
+            String forwarded = SERVER.requests().get(requestsBefore);
             assertFalse(forwarded.contains("key-") || forwarded.contains("boss"), forwarded);
             assertEquals(tenant != null, forwarded.contains("X-Tenant: " + tenant + "\r\n"), forwarded);
         }
@@ -501,8 +343,8 @@
 
     private static String sendKeyed(String path, String attemptId, String keyHeaders, String body) throws IOException {
         return exchange(
-                SIDECAR_IP,
-                PORTS[3],
+                mesh.sidecarIp,
+                mesh.outboundPort,
                 "POST " + path + " HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: " + attemptId
                         + "\r\nX-Deadline-Ms: 1500\r\nAuthorization: Token key-1\r\n" + keyHeaders + "Content-Length: "
                         + body.length() + "\r\n\r\n" + body);
@@ -510,7 +352,7 @@
 
     @Test
     void repeatedOperationGetsFirstResponseWithoutExecution() throws IOException {
-        int requestsBefore = SERVER_REQUESTS.size();
+        int requestsBefore = SERVER.requests().size();
         String key = "X-Operation-Key: op-1\r\n";
         String first = sendKeyed("/k/ok", "t1", key, "body");
         String second = sendKeyed("/k/ok", "t2", key, "body");
@@ -523,43 +365,43 @@
                         && second.contains("X-Server-Seal: s\r\n")
                         && second.endsWith("good"),
                 second);
-        assertEquals(1, SERVER_REQUESTS.size() - requestsBefore, "it ran once");
+        assertEquals(1, SERVER.requests().size() - requestsBefore, "it ran once");
         String other = sendKeyed("/k/ok", "t3", key, "another body");
         assertTrue(other.startsWith("HTTP/1.1 422 "), other);
-        assertEquals(1, SERVER_REQUESTS.size() - requestsBefore, "a key used for another request runs nothing");
+        assertEquals(1, SERVER.requests().size() - requestsBefore, "a key used for another request runs nothing");
     }
 
     @ParameterizedTest
     @CsvSource({"short,502,409,1", "shed,503,503,2", "other,502,409,1"})
     void possiblyExecutedOperationStaysBlockedAndUnexecutedMayBeRetried(
             String behaviour, int firstStatus, int secondStatus, int executions) throws IOException {
-        int requestsBefore = SERVER_REQUESTS.size();
+        int requestsBefore = SERVER.requests().size();
         String key = "X-Operation-Key: op-" + behaviour + "\r\n";
         String firstResponse = sendKeyed("/k/" + behaviour, "u1", key, "");
         String secondResponse = sendKeyed("/k/" + behaviour, "u2", key, "");
         assertTrue(firstResponse.startsWith("HTTP/1.1 " + firstStatus + " "), firstResponse);
         assertTrue(secondResponse.startsWith("HTTP/1.1 " + secondStatus + " "), secondResponse);
-        assertEquals(executions, SERVER_REQUESTS.size() - requestsBefore);
+        assertEquals(executions, SERVER.requests().size() - requestsBefore);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "X-Operation-Key: a\r\nX-Operation-Key: b\r\n", "X-Operation-Key: a b\r\n"})
     void requestWithoutValidIdempotencyKeyIsRejected(String keyHeaders) throws IOException {
-        int requestsBefore = SERVER_REQUESTS.size();
+        int requestsBefore = SERVER.requests().size();
         String response = sendKeyed("/k/ok", "v1", keyHeaders, "");
         assertTrue(response.startsWith("HTTP/1.1 400 "), response);
-        assertEquals(requestsBefore, SERVER_REQUESTS.size());
+        assertEquals(requestsBefore, SERVER.requests().size());
     }
 
     @Test
     void tenantOverLimitIsAnswered429() throws IOException {
-        int requestsBefore = SERVER_REQUESTS.size();
+        int requestsBefore = SERVER.requests().size();
         String lastResponse = "";
         for (int i = 0; i < 8; i++) {
             lastResponse = sendGet("/s/few", "Authorization: Token key-3\r\n");
         }
         assertTrue(lastResponse.startsWith("HTTP/1.1 429 ") && lastResponse.contains("Retry-After: "), lastResponse);
-        assertEquals(6, SERVER_REQUESTS.size() - requestsBefore, "a burst of two, and a fifth of a margin of twenty");
+        assertEquals(6, SERVER.requests().size() - requestsBefore, "a burst of two, and a fifth of a margin of twenty");
         assertTrue(
                 sendGet("/s/many", "Authorization: Token key-1\r\n").startsWith("HTTP/1.1 200"),
                 "another tenant has its own");
