--- a/src/test/java/bramblespool/cluster/IdempotencyAndRateLimitTest.java
+++ b/src/test/java/bramblespool/cluster/IdempotencyAndRateLimitTest.java
@@ -8,8 +8,9 @@
 import bramblespool.coordination.tenancy.RequestAdmission;
 import bramblespool.state.EventLog;
 import bramblespool.state.Tenant;
+import bramblespool.testing.SimulatedDisk;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
-import bramblespool.testing.Simulator;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -52,7 +53,7 @@
         if (proxy == null) {
             return;
         }
-        Simulator.Machine machine = mesh.simulator.machine(SimulatedMesh.sidecarPeer(sidecarIndex));
+        SimulatedMachine machine = mesh.simulator.machine(SimulatedMesh.sidecarPeer(sidecarIndex));
         new RequestAdmission(proxy.admissionClient, proxy.idempotencyTable, proxy::queryOperation, EventLog.silent())
                 .admit(
                         new RequestAdmission.AdmissionRequest(
@@ -188,7 +189,7 @@
             } else if (choice < 30) {
                 mesh.simulator.machine(peer).freeze(300 + random.nextInt(1500));
             } else if (choice < 32) {
-                Simulator.Disk disk = mesh.simulator.machine(SimulatedMesh.controllerPeer(controllerIndex)).disk;
+                SimulatedDisk disk = mesh.simulator.machine(SimulatedMesh.controllerPeer(controllerIndex)).disk;
                 disk.extraSyncMs = disk.extraSyncMs == 0 ? 120 : 0;
             } else {
                 retryUntilServed("k" + ++keys, random.nextInt(SIDECARS), 4);
--- a/src/test/java/bramblespool/cluster/LargeClusterTest.java
+++ b/src/test/java/bramblespool/cluster/LargeClusterTest.java
@@ -10,8 +10,8 @@
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.raft.RaftNode;
 import bramblespool.state.ReplicatedState;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
-import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -40,13 +40,13 @@
     }
 
     private void limitSpeed(String peer, double linkBytesPerMs) {
-        Simulator.Machine machine = mesh.simulator.machine(peer);
+        SimulatedMachine machine = mesh.simulator.machine(peer);
         machine.linkBytesPerMs = linkBytesPerMs;
         machine.cpuMsPerMessage = 1;
         machine.cpuMsPerKilobyte = 0.1;
     }
 
-    private Simulator.Machine controllerMachine(int index) {
+    private SimulatedMachine controllerMachine(int index) {
         return mesh.simulator.machine(SimulatedMesh.controllerPeer(index));
     }
 
--- a/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
+++ b/src/test/java/bramblespool/cluster/RegisterLinearizabilityTest.java
@@ -5,8 +5,8 @@
 
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.register.RegisterResult;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
-import bramblespool.testing.Simulator;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -168,7 +168,7 @@
         long wipedAtMs = -100_000;
         for (int step = 0; step < 500; step++) {
             String peer = peers.get(random.nextInt(peers.size()));
-            Simulator.Machine machine = mesh.simulator.machine(peer);
+            SimulatedMachine machine = mesh.simulator.machine(peer);
             int choice = random.nextInt(100);
             if (choice < 3 && down.isEmpty()) {
                 boolean losesPower = random.nextBoolean();
--- a/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
+++ b/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
@@ -18,8 +18,9 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.VoterSet;
+import bramblespool.testing.SimulatedDisk;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
-import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -108,7 +109,7 @@
         mesh.simulator.run(1000);
     }
 
-    private Simulator.Machine machine(String peer) {
+    private SimulatedMachine machine(String peer) {
         return mesh.simulator.machine(peer);
     }
 
@@ -547,10 +548,10 @@
         startCluster(seed, 10);
         applyChanges(40, 10);
         mesh.killController(laggingPeer, true);
-        Simulator.Disk disk = machine(laggingPeer).disk;
+        SimulatedDisk disk = machine(laggingPeer).disk;
         DurableStore.PersistentState savedBefore = disk.load();
         DurableStore.Snapshot snapshot = savedBefore.snapshot();
-        Field heldField = Simulator.Disk.class.getDeclaredField("held");
+        Field heldField = SimulatedDisk.class.getDeclaredField("held");
         heldField.setAccessible(true);
         heldField.set(
                 disk,
--- a/src/test/java/bramblespool/coordination/configuration/ShadowCommitParticipantTest.java
+++ b/src/test/java/bramblespool/coordination/configuration/ShadowCommitParticipantTest.java
@@ -9,6 +9,7 @@
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.RoutingConfigurationParser;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import org.junit.jupiter.api.BeforeEach;
@@ -29,7 +30,7 @@
 
     @BeforeEach
     void adoptFirstVersion() {
-        Simulator.Machine machine = simulator.machine("10.0.1.1:7000");
+        SimulatedMachine machine = simulator.machine("10.0.1.1:7000");
         machine.boot();
         participant = new ShadowCommitParticipant(machine, 1000, EventLog.silent());
         participant.adopt(configuration(5), true);
--- a/src/test/java/bramblespool/coordination/membership/EndpointDirectoryTest.java
+++ b/src/test/java/bramblespool/coordination/membership/EndpointDirectoryTest.java
@@ -5,6 +5,7 @@
 
 import bramblespool.coordination.gossip.GossipKeys;
 import bramblespool.coordination.gossip.GossipStore;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -18,7 +19,7 @@
 /** Which of many doors a request is sent to. */
 class EndpointDirectoryTest {
     private final Simulator simulator = new Simulator(5);
-    private final Simulator.Machine machine = simulator.machine("10.0.1.1:7000");
+    private final SimulatedMachine machine = simulator.machine("10.0.1.1:7000");
     private final Map<String, Integer> localLoads = new HashMap<>();
     private EndpointDirectory directory;
     private long sequence;
--- a/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
+++ b/src/test/java/bramblespool/coordination/traffic/ServerAdmissionTest.java
@@ -10,6 +10,7 @@
 import bramblespool.state.EventLog;
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfigurationParser;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import java.util.ArrayDeque;
@@ -24,7 +25,7 @@
 /** The gate in front of one server, on a simulated clock. */
 class ServerAdmissionTest {
     private final Simulator simulator = new Simulator(1);
-    private final Simulator.Machine machine = simulator.machine("10.0.1.1:7000");
+    private final SimulatedMachine machine = simulator.machine("10.0.1.1:7000");
     private final List<Long> arrivals = new ArrayList<>();
     private final List<ServerAdmission.Rejection> rejections = new ArrayList<>();
     private int running;
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -7,6 +7,7 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -59,7 +60,7 @@
     // ---- messages
 
     @Override
-    public void onSent(Simulator.Machine from, String kind, ObjectNode body) {
+    public void onSent(SimulatedMachine from, String kind, ObjectNode body) {
         if (RaftView.isSentByLeader(kind)) {
             recordLeader(body.path("term").asLong(), body.path("from").asText());
         }
@@ -67,7 +68,7 @@
 
     /** Whoever answers yes to a vote or to entries has them on its disk. */
     @Override
-    public void onAnswered(Simulator.Machine machine, String kind, JsonNode request, JsonNode answer) {
+    public void onAnswered(SimulatedMachine machine, String kind, JsonNode request, JsonNode answer) {
         boolean vote = kind.equals("vote")
                 && !request.path("pre").asBoolean()
                 && answer.path("ok").asBoolean();
@@ -119,7 +120,7 @@
 
     @Override
     public void onWritten(
-            Simulator.Machine machine,
+            SimulatedMachine machine,
             DurableStore.Change change,
             DurableStore.PersistentState before,
             DurableStore.PersistentState after) {
@@ -230,7 +231,7 @@
     // ---- answers
 
     /** A disk is about to be lost: for a moment it counts among those that an entry had reached. */
-    void onDiskWiped(Simulator.Machine machine) {
+    void onDiskWiped(SimulatedMachine machine) {
         if (!machine.disk.isEmpty()) {
             recentlyLostDisks.put(machine.disk.load(), mesh.simulator.nowMs());
         }
@@ -238,7 +239,7 @@
 
     private List<DurableStore.PersistentState> disks() {
         List<DurableStore.PersistentState> out = new ArrayList<>();
-        for (Simulator.Machine machine : mesh.simulator.machines()) {
+        for (SimulatedMachine machine : mesh.simulator.machines()) {
             if (!machine.disk.isEmpty()) {
                 out.add(machine.disk.load());
             }
--- a/src/test/java/bramblespool/model/OperatorClient.java
+++ b/src/test/java/bramblespool/model/OperatorClient.java
@@ -2,6 +2,7 @@
 
 import bramblespool.protocol.OperatorRequest;
 import bramblespool.state.InvalidConfigurationException;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -43,7 +44,7 @@
     }
 
     private final Simulator simulator;
-    private final Simulator.Machine machine;
+    private final SimulatedMachine machine;
     private final Supplier<List<String>> controllers;
     private final History history;
     final List<OperatorCall> calls = new ArrayList<>();
--- a/src/test/java/bramblespool/model/ScheduleRunner.java
+++ b/src/test/java/bramblespool/model/ScheduleRunner.java
@@ -2,6 +2,7 @@
 
 import bramblespool.coordination.controller.ControllerNode;
 import bramblespool.coordination.dataplane.DataPlaneNode;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import java.util.ArrayList;
@@ -248,7 +249,7 @@
         }
     }
 
-    private void applyToMachine(ScheduleStep step, String peer, Simulator.Machine machine) {
+    private void applyToMachine(ScheduleStep step, String peer, SimulatedMachine machine) {
         switch (step.kind()) {
             case CUT -> {
                 for (String controller : controllers) {
--- a/src/test/java/bramblespool/proxy/IdleConnectionsTest.java
+++ b/src/test/java/bramblespool/proxy/IdleConnectionsTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.Simulator;
 import java.nio.channels.Channel;
 import java.util.ArrayList;
@@ -35,7 +36,7 @@
 
     @BeforeEach
     void boot() {
-        Simulator.Machine machine = simulator.machine("10.0.1.1:7000");
+        SimulatedMachine machine = simulator.machine("10.0.1.1:7000");
         machine.boot();
         idleConnections = new IdleConnections<>(machine, 1000);
     }
--- a/src/test/java/bramblespool/state/SqliteDurableStoreDamageTest.java
+++ b/src/test/java/bramblespool/state/SqliteDurableStoreDamageTest.java
@@ -9,6 +9,7 @@
 import bramblespool.state.DurableStore.Change;
 import bramblespool.state.DurableStore.LogEntry;
 import bramblespool.state.DurableStore.PersistentState;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import java.nio.charset.StandardCharsets;
@@ -241,7 +242,7 @@
                 [limits]
                 memoryMb = 0
                 """ + SimulatedMesh.BOUNDS, "test");
-        Simulator.Machine machine = new Simulator(1).machine(settings.peerAddress());
+        SimulatedMachine machine = new Simulator(1).machine(settings.peerAddress());
         for (String wanted : List.of(RaftNode.FOUNDER_INCARNATION, RaftNode.FOUNDER_INCARNATION, "fresh")) {
             SqliteDurableStore store = openStore(new SyncedDirectory(dir), log);
             ControllerNode core =
--- a/src/test/java/bramblespool/testing/SimulatedMesh.java
+++ b/src/test/java/bramblespool/testing/SimulatedMesh.java
@@ -192,7 +192,7 @@
     }
 
     private ControllerNode startController(String peer, boolean isBootstrap, DurableStore durableStore) {
-        Simulator.Machine machine = simulator.machine(peer);
+        SimulatedMachine machine = simulator.machine(peer);
         machine.boot();
         ControllerNode controller = new ControllerNode(
                 settings(peer, seedAddresses, isBootstrap),
@@ -215,7 +215,7 @@
 
     public void startSidecar(String peer) {
         DataPlaneNode sidecar = startProxy(peer, sidecars);
-        Simulator.Machine machine = simulator.machine(peer);
+        SimulatedMachine machine = simulator.machine(peer);
         String id = "s-" + peer + "-" + ++heartbeatCount;
         machine.scheduleRepeatedly(
                 1500,
@@ -235,7 +235,7 @@
     }
 
     private DataPlaneNode startProxy(String peer, Map<String, DataPlaneNode> proxies) {
-        Simulator.Machine machine = simulator.machine(peer);
+        SimulatedMachine machine = simulator.machine(peer);
         machine.boot();
         DataPlaneNode proxy =
                 new DataPlaneNode(settings(peer, seedAddresses, false), machine, machine, EventLog.silent());
--- a/src/test/java/bramblespool/testing/SimulatedPlatform.java
+++ b/src/test/java/bramblespool/testing/SimulatedPlatform.java
@@ -32,7 +32,7 @@
         servers.computeIfPresent(id, (k, s) -> s.asDraining());
     }
 
-    PlatformClient clientFor(Simulator.Machine machine) {
+    PlatformClient clientFor(SimulatedMachine machine) {
         return new PlatformClient() {
             @Override
             public void fetchPage(String zone, String token, java.util.function.Consumer<Response> answer) {
