--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -9,6 +9,7 @@
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.RegistryReader;
 import bramblespool.coordination.gossip.GossipKeys;
+import bramblespool.coordination.gossip.GossipPeers;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.membership.EndpointDirectory;
@@ -33,6 +34,7 @@
 import bramblespool.raft.LeadershipConfirmation;
 import bramblespool.raft.ProposalOutcome;
 import bramblespool.raft.RaftNode;
+import bramblespool.raft.RaftOptions;
 import bramblespool.raft.RaftTimeouts;
 import bramblespool.raft.StateMachine;
 import bramblespool.state.DurableStore;
@@ -146,12 +148,7 @@
         Settings.Bounds bounds = settings.bounds();
         this.callTimeoutMs = bounds.quietPeriodMs() / CALL_TIMEOUT_DIVISOR;
         this.gossip = new GossipStore(
-                clock,
-                transport,
-                callTimeoutMs,
-                bounds.drainMs() / GOSSIP_BATCH_DIVISOR,
-                true,
-                new GossipStore.GossipPeers() {
+                clock, transport, callTimeoutMs, bounds.drainMs() / GOSSIP_BATCH_DIVISOR, true, new GossipPeers() {
                     @Override
                     public List<String> pushTargets(GossipStore.Source source) {
                         // Whoever hears a thing first tells the other cells.
@@ -207,16 +204,17 @@
         this.rateLimiter = new TenantRateLimiter(
                 clock, bounds.rateLimitWindowMs(), bounds.rateLimitExcess(), bounds.rateLimitAllowance());
         this.raft = new RaftNode(
-                memberId,
-                settings.controlAddress(),
-                Math.max(1, settings.seedPeers().size()),
-                settings.tolerableMachineLosses(),
+                new RaftOptions(
+                        memberId,
+                        settings.controlAddress(),
+                        Math.max(1, settings.seedPeers().size()),
+                        settings.tolerableMachineLosses(),
+                        RaftTimeouts.of(bounds.quietPeriodMs(), bounds.catchUpMs())),
                 savedState,
                 clock,
                 transport,
                 durableStore,
                 this,
-                RaftTimeouts.of(bounds.quietPeriodMs(), bounds.catchUpMs()),
                 log);
         this.phaseRelay = new PhaseRelay(transport, new TermGuard(log), raft::leaderTerm, this::openSessionAddress);
         this.commitCoordinator = new ShadowCommitCoordinator(
@@ -789,7 +787,7 @@
             callback.accept(null);
             return;
         }
-        if (gossip.serve(kind, request, callback)) {
+        if (gossip.handleRequest(kind, request, callback)) {
             return;
         }
         switch (kind) {
