--- a/src/test/java/bramblespool/model/Mutants.java
+++ b/src/test/java/bramblespool/model/Mutants.java
@@ -1,363 +1,229 @@
 package bramblespool.model;
 
-import java.io.IOException;
-import java.net.URL;
-import java.net.URLClassLoader;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.Comparator;
+import static bramblespool.model.ScheduleGenerator.Theme.AWAY;
+import static bramblespool.model.ScheduleGenerator.Theme.BEYOND;
+import static bramblespool.model.ScheduleGenerator.Theme.CLOSING;
+import static bramblespool.model.ScheduleGenerator.Theme.CUT_OFF;
+import static bramblespool.model.ScheduleGenerator.Theme.MIX;
+import static bramblespool.model.ScheduleGenerator.Theme.RIVALS;
+import static bramblespool.model.ScheduleGenerator.Theme.STORM;
+import static bramblespool.model.ScheduleGenerator.Theme.TURNS;
+
 import java.util.List;
-import javax.tools.ToolProvider;
 
-/** Plays the model on code with one fault in it, and says which invariant sees it, and after how many schedules. */
-public final class Mutants {
-    /** One text in one source, and what stands there instead. */
-    private record Edit(String file, String text, String instead) {}
+/**
+ * The faults that the model must see. {@link MutantsTest} holds the texts to the sources; {@link MutantSearch} runs the
+ * mutants. The names are those of docs/control.md.
+ */
+final class Mutants {
+    private static final String QUORUM_STATE = "raft/QuorumState.java";
+    private static final String ROLE_TRANSITIONS = "raft/RoleTransitions.java";
+    private static final String VOTE_HANDLER = "raft/VoteHandler.java";
+    private static final String LEADER_STATE = "raft/LeaderState.java";
+    private static final String LOG_REPLICATOR = "raft/LogReplicator.java";
+    private static final String APPEND_HANDLER = "raft/AppendHandler.java";
+    private static final String CHUNK_HANDLER = "raft/ChunkHandler.java";
+    private static final String FOLLOWER_WRITER = "raft/FollowerWriter.java";
+    private static final String RAFT_LOG = "raft/RaftLog.java";
+    private static final String RAFT_MESSAGE_CODEC = "raft/RaftMessageCodec.java";
+    private static final String MEMBERSHIP_CHANGE = "raft/MembershipChange.java";
+    private static final String VOTER_SET = "state/VoterSet.java";
+    private static final String REPLICATED_STATE = "state/ReplicatedState.java";
+    private static final String COORDINATOR = "coordination/configuration/ShadowCommitCoordinator.java";
+    private static final String CANDIDATE_FACTORY = "coordination/configuration/CandidateFactory.java";
+    private static final String RECOVERY_ACTION = "coordination/configuration/RecoveryAction.java";
+    private static final String PARTICIPANT = "coordination/configuration/ShadowCommitParticipant.java";
+    private static final String DATA_PLANE_NODE = "coordination/dataplane/DataPlaneNode.java";
 
-    private record Mutant(String name, String theme, List<Edit> edits) {}
+    private static final List<Mutant> ELECTION = List.of(
+            Mutant.of("votes twice in a term", MIX)
+                    .replacing(
+                            QUORUM_STATE,
+                            "if (votedFor != null && !votedFor.equals(candidateId)) {",
+                            "if (votedFor == null && candidateId == null) {"),
+            Mutant.of("votes before its disk has the vote", MIX)
+                    .replacing(
+                            VOTE_HANDLER,
+                            "storage.saveTermAndVote(() -> callback.respond(response));",
+                            "storage.saveTermAndVote(() -> { }); callback.respond(response);"),
+            Mutant.of("wins with half of the votes", MIX)
+                    .replacing(VOTER_SET, "Math.max(voterCount / 2 + 1,", "Math.max(Math.max(1, voterCount / 2),"),
+            Mutant.of("votes for whoever lacks entries", CLOSING)
+                    .replacing(VOTE_HANDLER, "if (!isUpToDate(request) || !quorum.grantVote", "if (!quorum.grantVote")
+                    .replacing(
+                            VOTE_HANDLER,
+                            "request.term() > quorum.currentTerm() && isUpToDate(request)",
+                            "request.term() > quorum.currentTerm()"),
+            Mutant.of("its term goes back", CUT_OFF)
+                    .replacing(
+                            ROLE_TRANSITIONS, "if (header.term() < quorum.currentTerm()) {", "if (header.term() < 0) {")
+                    .replacing(
+                            QUORUM_STATE,
+                            "boolean isNewerTerm = term > currentTerm;",
+                            "boolean isNewerTerm = term != currentTerm;")
+                    .replacing(
+                            ROLE_TRANSITIONS,
+                            "if (header.term() > quorum.currentTerm() ||",
+                            "if (header.term() != quorum.currentTerm() ||"));
 
-    private static final Path MAIN = Path.of("src/main/java/bramblespool");
-    private static final Path OUT = Path.of("target/mutants");
+    private static final List<Mutant> REPLICATION = List.of(
+            Mutant.of("a follower answers before its disk", MIX)
+                    .replacing(
+                            FOLLOWER_WRITER,
+                            "PendingResponse pending = new PendingResponse(responses.accepted(), callback);",
+                            "callback.accept(responses.accepted());"
+                                    + "PendingResponse pending = new PendingResponse(responses.accepted(), r -> { });"),
+            Mutant.of("a leader counts itself before its disk", MIX)
+                    .replacing(
+                            LOG_REPLICATOR,
+                            "storage.append(List.of(entry), () -> {",
+                            "raftLog.markDurable(entry.index(), entry.term()); advanceCommitIndex(leader);"
+                                    + " storage.append(List.of(entry), () -> {"),
+            Mutant.of("one copy is enough", MIX)
+                    .replacing(
+                            VOTER_SET,
+                            "return Math.max(voterCount / 2 + 1, Math.min(requiredReplicas, voterCount));",
+                            "return requiredReplicas == 0 ? voterCount / 2 + 1 : 1;"),
+            Mutant.of("agrees on an older term's entry by counting", STORM)
+                    .replacing(LOG_REPLICATOR, "&& raftLog.termAt(replicatedIndex) == leader.term()", "")
+                    // Otherwise the first entry of the new term goes in the same message as the old one.
+                    .replacing(LOG_REPLICATOR, "MAX_ENTRIES_PER_REQUEST = 64", "MAX_ENTRIES_PER_REQUEST = 1"),
+            Mutant.of("does not look at the entry before", CUT_OFF)
+                    .replacing(APPEND_HANDLER, "raftLog.termAt(previousIndex) == segment.previousTerm()", "true"),
+            Mutant.of("keeps what differs from its leader", CUT_OFF)
+                    .replacing(
+                            APPEND_HANDLER,
+                            "if (index <= raftLog.lastIndex() && raftLog.termAt(index) != entry.term()) {",
+                            "if (index <= raftLog.lastIndex() && entry.term() < 0) {"),
+            Mutant.of("stores entries altered", MIX)
+                    .replacing(
+                            RAFT_MESSAGE_CODEC,
+                            "++index, entry.path(TERM).asLong(), entry.path(DATA).asText())",
+                            "++index, entry.path(TERM).asLong(), entry.path(DATA).asText() + \" \")"),
+            Mutant.of("forgets evacuations with the next version", MIX)
+                    .replacing(
+                            REPLICATED_STATE,
+                            "        candidate = null;\n        phase = Phase.DECIDED;",
+                            "        candidate = null;\n        evacuations.clear();\n        phase = Phase.DECIDED;"));
 
-    private Mutants() {}
+    private static final List<Mutant> SNAPSHOTS = List.of(
+            Mutant.of("takes any snapshot", AWAY)
+                    .replacing(
+                            CHUNK_HANDLER,
+                            "if (request.lastIndex() <= raftLog.commitIndex() && applier.isStateConsistent()) {",
+                            "if (request.lastIndex() < 0) {")
+                    .replacing(CHUNK_HANDLER, "|| index < raftLog.snapshotIndex()", "")
+                    // Otherwise the entries behind it stay, and all that was applied is applied again at once.
+                    .replacing(
+                            RAFT_LOG,
+                            "boolean hasMatchingEntry = termAt(newSnapshot.index()) == newSnapshot.term();",
+                            "boolean hasMatchingEntry = false;"),
+            Mutant.of("says yes to a snapshot that its disk lacks", AWAY)
+                    .replacing(
+                            CHUNK_HANDLER,
+                            "writer.respondWhenDurable(callback);",
+                            "callback.accept(responses.accepted());"),
+            Mutant.of("a snapshot forgets what was taken", AWAY)
+                    .replacing(
+                            REPLICATED_STATE,
+                            "configurations.committedDigests().forEach((digest, epoch) ->"
+                                    + " committedDigests.put(shortDigest(digest), epoch));",
+                            ""),
+            Mutant.of("a snapshot forgets the voters", AWAY)
+                    .replacing(RAFT_LOG, "votersAtIndex = LogEntryCodec.decodeVoters(get(i).data());", ""));
 
-    private static Mutant mutant(String name, String theme, String... edits) {
-        List<Edit> all = new ArrayList<>();
-        for (int i = 0; i < edits.length; i += 3) {
-            all.add(new Edit(edits[i], edits[i + 1], edits[i + 2]));
-        }
-        return new Mutant(name, theme, all);
-    }
+    private static final List<Mutant> MEMBERSHIP = List.of(
+            Mutant.of("changes voters while a change is open", BEYOND)
+                    .replacing(MEMBERSHIP_CHANGE, "|| raftLog.hasVotersEntryAfter(raftLog.commitIndex())", ""),
+            Mutant.of("never replaces who is absent", TURNS)
+                    .replacing(MEMBERSHIP_CHANGE, "} else if (silentMs > absentMs &&", "} else if (silentMs < 0 &&"),
+            Mutant.of("swaps a voter in one step", BEYOND)
+                    .replacing(
+                            MEMBERSHIP_CHANGE,
+                            "Optional.of(voterSet.transitionTo(nextVoters))",
+                            "Optional.of(VoterSet.decode(nextVoters))"));
 
-    private static final List<Mutant> ALL = List.of(
-            mutant(
-                    "votes twice in a term",
-                    "MIX",
-                    "raft/Raft.java",
-                    "if (vote != null && !vote.equals(candidate)) {",
-                    "if (vote == null && candidate == null) {"),
-            mutant(
-                    "votes before its disk has the vote",
-                    "MIX",
-                    "raft/Election.java",
-                    "raft.persist(0, List.of(), null, () -> answer.accept(yes));",
-                    "raft.persist(0, List.of(), null, () -> { }); answer.accept(yes);"),
-            mutant(
-                    "wins with half of the votes",
-                    "MIX",
-                    "state/Voters.java",
-                    "Math.max(voters / 2 + 1,",
-                    "Math.max(Math.max(1, voters / 2),"),
-            mutant(
-                    "votes for whoever lacks entries",
-                    "CLOSING",
-                    "raft/Election.java",
-                    "if (!upToDate || !raft.voteFor(from)) {",
-                    "if (!raft.voteFor(from)) {",
-                    "raft/Election.java",
-                    "asked > raft.term() && upToDate",
-                    "asked > raft.term()"),
-            mutant(
-                    "its term goes back",
-                    "CUT_OFF",
-                    "raft/Raft.java",
-                    "if (t < term) {",
-                    "if (t < 0) {",
-                    "raft/Raft.java",
-                    "boolean newer = newTerm > term;",
-                    "boolean newer = newTerm != term;",
-                    "raft/Raft.java",
-                    "if (t > term ||",
-                    "if (t != term ||"),
-            mutant(
-                    "a follower answers before its disk",
-                    "MIX",
-                    "raft/Replication.java",
-                    "boolean[] over = {false};",
-                    "boolean[] over = {true}; answer.accept(yes);"),
-            mutant(
-                    "a leader counts itself before its disk",
-                    "MIX",
-                    "raft/Raft.java",
-                    "persist(0, List.of(e), null, () -> {",
-                    "replication.stored(e.index()); persist(0, List.of(e), null, () -> {"),
-            mutant(
-                    "one copy is enough",
-                    "MIX",
-                    "state/Voters.java",
-                    "return Math.max(voters / 2 + 1, Math.min(copies, voters));",
-                    "return copies == 0 ? voters / 2 + 1 : 1;"),
-            mutant(
-                    "agrees on an older term's entry by counting",
-                    "STORM",
-                    "raft/Replication.java",
-                    "&& raft.entries.termAt(agreed) == raft.term()",
-                    "",
-                    // Else the first entry of the new term goes in the same message as the old one.
-                    "raft/Replication.java",
-                    "ENTRIES_AT_ONCE = 64",
-                    "ENTRIES_AT_ONCE = 1"),
-            mutant(
-                    "does not look at the entry before",
-                    "CUT_OFF",
-                    "raft/Replication.java",
-                    "entries.termAt(prev) != m.path(\"prevTerm\").asLong()",
-                    "false"),
-            mutant(
-                    "keeps what differs from its leader",
-                    "CUT_OFF",
-                    "raft/Replication.java",
-                    "if (at <= entries.last() && entries.termAt(at) != e.term()) {",
-                    "if (at <= entries.last() && e.term() < 0) {"),
-            mutant(
-                    "stores entries altered",
-                    "MIX",
-                    "raft/Replication.java",
-                    "n.path(\"term\").asLong(), n.path(\"data\").asText())",
-                    "n.path(\"term\").asLong(), n.path(\"data\").asText() + \" \")"),
-            mutant(
-                    "forgets evacuations with the next version",
-                    "MIX",
-                    "state/Ledger.java",
-                    "        candidate = null;\n        phase = Phase.DECIDED;",
-                    "        candidate = null;\n        evacuations.clear();\n        phase = Phase.DECIDED;"),
-            mutant(
-                    "takes any snapshot",
-                    "AWAY",
-                    "raft/Replication.java",
-                    "if (ofSnapshot && index <= raft.commit && raft.fit()) {",
-                    "if (ofSnapshot && index < 0) {",
-                    "raft/Replication.java",
-                    "|| index < raft.entries.base()",
-                    "",
-                    // Else the entries behind it stay, and all that was applied is applied again at once.
-                    "raft/RaftLog.java",
-                    "boolean agrees = termAt(by.index()) == by.term();",
-                    "boolean agrees = false;"),
-            mutant(
-                    "says yes to a snapshot that its disk lacks",
-                    "AWAY",
-                    "raft/Replication.java",
-                    "store(0, List.of(), null, answer);",
-                    "answer.accept(raft.reply(true));"),
-            mutant(
-                    "a snapshot forgets what was taken",
-                    "AWAY",
-                    "state/Ledger.java",
-                    "        n.path(\"taken\")\n                .fields()\n"
-                            + "                .forEachRemaining(f -> taken.put(brief(f.getKey()), f.getValue().asLong()));",
-                    ""),
-            mutant("a snapshot forgets the voters", "AWAY", "raft/RaftLog.java", "votersThen = votersOf(get(i));", ""),
-            mutant(
-                    "changes voters while a change is open",
-                    "BEYOND",
-                    "raft/Configuration.java",
-                    "|| raft.entries.changesVoters(raft.commit)",
-                    ""),
-            mutant(
-                    "never replaces who is absent",
-                    "TURNS",
-                    "raft/Configuration.java",
-                    "} else if (silent > raft.times.absent() &&",
-                    "} else if (silent < 0 &&"),
-            mutant(
-                    "swaps a voter in one step",
-                    "BEYOND",
-                    "raft/Configuration.java",
-                    "RaftLog.members(group.to(next))",
-                    "RaftLog.members(Voters.read(next))"),
-            mutant(
-                    "reads without asking",
-                    "CUT_OFF",
-                    "raft/Reads.java",
-                    "waiting.add(new Read(raft.clock.now(), done));",
-                    "if (raft.leads()) { done.accept(true); return; }"),
-            mutant(
-                    "refuses without a majority",
-                    "CUT_OFF",
-                    "coordination/Commit.java",
-                    "raft.confirm(ok -> {",
-                    "java.util.Optional.of(true).ifPresent(ok -> {"),
-            mutant(
-                    "leads before it has applied all",
-                    "CLOSING",
-                    "raft/Raft.java",
-                    "        ready = false;\n        replication.clear();",
-                    "        ready = true;\n        replication.clear();"),
-            mutant(
-                    "does not know a repeat",
-                    "RIVALS",
-                    "coordination/Commit.java",
-                    "if (ledger.taken(change.digest())) {",
-                    "if (false) {",
-                    "coordination/Commit.java",
-                    "return ledger.taken(change.digest())",
-                    "return false"),
-            mutant(
-                    "does not look at the base",
-                    "RIVALS",
-                    "coordination/Commit.java",
-                    ": change.base() != epoch ? Orders.Outcome.stale(epoch) : null;",
-                    ": null;",
-                    "state/Ledger.java",
-                    "candidateBase != current.epoch ||",
-                    ""),
-            mutant(
-                    "refuses where it cannot know",
-                    "RIVALS",
-                    "coordination/Commit.java",
-                    "if (!ok || !ledger.taken(o.change.digest())) {\n                o.done.accept(Orders.Outcome.unclear(\"the lead was lost\"));",
-                    "if (!ok || !ledger.taken(o.change.digest())) {\n                o.done.accept(Orders.Outcome.stale(0));"),
-            mutant(
-                    "refuses a number that is free",
-                    "MIX",
-                    "coordination/Commit.java",
-                    "if (config.epoch <= ledger.current().epoch()) {",
-                    "if (config.epoch <= ledger.current().epoch() + 3 && config.epoch > 5) {"),
-            mutant(
-                    "leaves what the last leader left",
-                    "RIVALS",
-                    "coordination/Commit.java",
-                    "if (ledger.candidate() != null) {",
-                    "if (false) {"),
-            mutant(
-                    "works on two changes at once",
-                    "RIVALS",
-                    "coordination/Commit.java",
-                    "        busy = true;\n        long mine = lead;\n        ObjectNode e",
-                    "        long mine = lead;\n        ObjectNode e"),
-            mutant(
-                    "records a change under another's digest",
-                    "MIX",
-                    "state/Ledger.java",
-                    "taken.put(brief(current.digest), epoch);",
-                    "taken.put(brief(current.digest), epoch); taken.put(brief(current.digest) + \"x\", epoch);"),
-            mutant(
-                    "forgets an evacuation",
-                    "MIX",
-                    "state/Ledger.java",
-                    "            case \"evac\" ->\n                evacuations.put(\n"
-                            + "                        e.path(\"zone\").asText(), new Evacuation(e.path(\"on\").asBoolean(), index));",
-                    "            case \"evac\" -> { }"),
-            mutant(
-                    "a side takes an older version",
-                    "MIX",
-                    "coordination/Shadow.java",
-                    "if (decided.epoch <= epoch()) {",
-                    "if (decided.epoch == epoch()) {",
-                    "coordination/WeftCore.java",
-                    "if (epoch < shadow.epoch()) {",
-                    "if (epoch < 0) {",
-                    "coordination/WeftCore.java",
-                    "|| shadow.epoch() >= epoch) {",
-                    ") {"),
-            mutant(
-                    "a side uses what is only proposed",
-                    "MIX",
-                    "coordination/Shadow.java",
-                    "        installed[1 - real] = candidate;\n",
-                    "        installed[1 - real] = candidate;\n        real = 1 - real;\n"),
-            mutant(
-                    "a side that missed a version stays there",
-                    "MIX",
-                    "coordination/WeftCore.java",
-                    "if (fetching) {\n            return;",
-                    "if (epoch > 0) {\n            return;"),
-            mutant(
-                    "an index is off by one",
-                    "CUT_OFF",
-                    "raft/RaftLog.java",
-                    "entries.subList((int) (from - before - 1), entries.size()).clear();",
-                    "entries.subList((int) (from - before), entries.size() - 1).clear();"));
+    private static final List<Mutant> READS_AND_LEADERSHIP = List.of(
+            Mutant.of("reads without asking", CUT_OFF)
+                    .replacing(
+                            LOG_REPLICATOR,
+                            "leader.readIndex().add(context.nowMs(), callback);",
+                            "if (leader.isReady()) { callback.accept(LeadershipConfirmation.CONFIRMED); return; }"),
+            Mutant.of("refuses without a majority", CUT_OFF)
+                    .replacing(
+                            COORDINATOR,
+                            "raft.confirmLeadership(confirmation -> {",
+                            "Optional.of(LeadershipConfirmation.CONFIRMED).ifPresent(confirmation -> {"),
+            Mutant.of("leads before it has applied all", CLOSING)
+                    .replacing(LEADER_STATE, "private boolean isReady;", "private boolean isReady = true;"));
 
-    /** {@code [--most 400] [--only part of a name]}. */
-    public static void main(String[] args) throws Exception {
-        int maxSeeds = 400;
-        String nameFilter = "";
-        for (int i = 0; i + 1 < args.length; i += 2) {
-            if (args[i].equals("--most")) {
-                maxSeeds = Integer.parseInt(args[i + 1]);
-            } else {
-                nameFilter = args[i + 1];
-            }
-        }
-        for (Mutant mutant : ALL) {
-            for (Edit e : mutant.edits) {
-                if (!Files.readString(MAIN.resolve(e.file)).contains(e.text)) {
-                    System.out.println(mutant.name + ": " + e.file + " has no " + e.text);
-                }
-            }
-        }
-        int missedCount = 0;
-        System.out.println("| Mutant | Seen by | Schedules |\n| --- | --- | --- |");
-        for (int i = 0; i < ALL.size(); i++) {
-            Mutant mutant = ALL.get(i);
-            if (mutant.name.contains(nameFilter)) {
-                String seen = runMutant(mutant, OUT.resolve("m" + i), maxSeeds);
-                missedCount += seen.contains("not seen") ? 1 : 0;
-                System.out.println("| " + mutant.name + " | " + seen + " |");
-            }
-        }
-        System.exit(missedCount == 0 ? 0 : 1);
-    }
+    private static final List<Mutant> COORDINATION = List.of(
+            Mutant.of("does not know a repeat", RIVALS)
+                    .replacing(COORDINATOR, "if (replicatedState.isCommitted(change.digest())) {", "if (false) {")
+                    .replacing(
+                            CANDIDATE_FACTORY, "if (replicatedState.isCommitted(change.digest())) {", "if (false) {"),
+            Mutant.of("does not look at the base", RIVALS)
+                    .replacing(CANDIDATE_FACTORY, "change.baseVersion() == currentEpoch", "true")
+                    .replacing(REPLICATED_STATE, "candidateBaseEpoch != current.epoch ||", ""),
+            Mutant.of("refuses where it cannot know", RIVALS)
+                    .replacing(
+                            COORDINATOR,
+                            "|| !replicatedState.isCommitted(pending.change().digest())) {\n"
+                                    + "                pending.complete(new ChangeOutcome.LeadershipLost());",
+                            "|| !replicatedState.isCommitted(pending.change().digest())) {\n"
+                                    + "                pending.complete(new ChangeOutcome.VersionConflict(0));"),
+            Mutant.of("refuses a number that is free", MIX)
+                    .replacing(
+                            CANDIDATE_FACTORY,
+                            "if (candidate.epoch() <= currentEpoch) {",
+                            "if (candidate.epoch() <= currentEpoch + 3 && candidate.epoch() > 5) {"),
+            Mutant.of("leaves what the last leader left", RIVALS)
+                    .replacing(RECOVERY_ACTION, "if (replicatedState.candidate() != null) {", "if (false) {"),
+            Mutant.of("works on two changes at once", RIVALS)
+                    .replacing(
+                            COORDINATOR,
+                            "        isBusy = true;\n        BooleanSupplier isStillLeading",
+                            "        BooleanSupplier isStillLeading"),
+            Mutant.of("records a change under another's digest", MIX)
+                    .replacing(
+                            REPLICATED_STATE,
+                            "committedDigests.put(shortDigest(current.digest), current.epoch);",
+                            "committedDigests.put(shortDigest(current.digest), current.epoch);"
+                                    + " committedDigests.put(shortDigest(current.digest) + \"x\", current.epoch);"),
+            Mutant.of("forgets an evacuation", MIX)
+                    .replacing(
+                            REPLICATED_STATE,
+                            "evacuations.put(entry.zone(), new Evacuation(entry.isEvacuated(), index));",
+                            ""));
 
-    private static String runMutant(Mutant mutant, Path directory, int maxSeeds) throws Exception {
-        compile(mutant, directory);
-        List<URL> classpath = new ArrayList<>();
-        classpath.add(directory.resolve("classes").toUri().toURL());
-        for (String p : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
-            classpath.add(Path.of(p).toUri().toURL());
-        }
-        try (URLClassLoader loader =
-                new URLClassLoader(classpath.toArray(URL[]::new), ClassLoader.getPlatformClassLoader())) {
-            var first = loader.loadClass(ViolationSearch.class.getName())
-                    .getDeclaredMethod("first", String.class, long.class, long.class);
-            first.setAccessible(true);
-            for (long from = 1; from <= maxSeeds; ) {
-                String violation = (String) first.invoke(null, mutant.theme, from, (long) maxSeeds);
-                if (violation == null) {
-                    break;
-                }
-                long seed = Long.parseLong(violation.split(" ")[0]);
-                // What the code without the mutant breaks as well does not count.
-                if (ScheduleRunner.runSchedule(
-                                ScheduleGenerator.schedule(seed, ScheduleGenerator.Theme.valueOf(mutant.theme)))
-                        == null) {
-                    return violation.split(" ")[1] + " | " + seed;
-                }
-                from = seed + 1;
-            }
-            return "not seen | " + maxSeeds;
-        }
-    }
+    private static final List<Mutant> PARTICIPATION = List.of(
+            Mutant.of("a side takes an older version", MIX)
+                    .replacing(PARTICIPANT, "if (decided.epoch() <= epoch()) {", "if (decided.epoch() == epoch()) {")
+                    .replacing(DATA_PLANE_NODE, "if (epoch < shadowCommit.epoch()) {", "if (epoch < 0) {")
+                    .replacing(DATA_PLANE_NODE, "|| shadowCommit.epoch() >= epoch) {", ") {"),
+            Mutant.of("a side uses what is only proposed", MIX)
+                    .replacing(
+                            PARTICIPANT,
+                            "        installed[1 - realSlot] = candidate;\n",
+                            "        installed[1 - realSlot] = candidate;\n        realSlot = 1 - realSlot;\n"),
+            Mutant.of("a side that missed a version stays there", MIX)
+                    .replacing(
+                            DATA_PLANE_NODE,
+                            "if (isFetching) {\n            return;",
+                            "if (epoch > 0) {\n            return;"),
+            Mutant.of("an index is off by one", CUT_OFF)
+                    .replacing(
+                            RAFT_LOG,
+                            "entries.subList((int) (firstIndex - precedingIndex - 1), entries.size()).clear();",
+                            "entries.subList((int) (firstIndex - precedingIndex), entries.size() - 1).clear();"));
+
+    private Mutants() {}
 
-    private static void compile(Mutant mutant, Path directory) throws IOException {
-        if (Files.exists(directory)) {
-            try (var old = Files.walk(directory)) {
-                for (Path p : old.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(p);
-                }
-            }
-        }
-        Path classes = Files.createDirectories(directory.resolve("classes"));
-        List<String> args = new ArrayList<>(List.of(
-                "-nowarn", "-proc:none", "-d", classes.toString(), "-cp", System.getProperty("java.class.path")));
-        for (Edit edit : mutant.edits) {
-            Path copy = directory.resolve("src").resolve(edit.file);
-            String copyName = copy.toString();
-            String source = Files.readString(args.contains(copyName) ? copy : MAIN.resolve(edit.file));
-            if (!source.contains(edit.text)) {
-                throw new IllegalStateException(mutant.name + ": " + edit.file + " has no " + edit.text);
-            }
-            Files.createDirectories(copy.getParent());
-            Files.writeString(copy, source.replace(edit.text, edit.instead));
-            if (!args.contains(copyName)) {
-                args.add(copyName);
-            }
-        }
-        if (ToolProvider.getSystemJavaCompiler().run(null, System.out, System.out, args.toArray(String[]::new)) != 0) {
-            throw new IllegalStateException(mutant.name + " does not compile");
-        }
+    /** All of them, in the order of docs/control.md. */
+    static List<Mutant> all() {
+        return List.of(ELECTION, REPLICATION, SNAPSHOTS, MEMBERSHIP, READS_AND_LEADERSHIP, COORDINATION, PARTICIPATION)
+                .stream()
+                .flatMap(List::stream)
+                .toList();
     }
 }
--- a/src/test/java/bramblespool/model/ViolationSearch.java
+++ b/src/test/java/bramblespool/model/ViolationSearch.java
@@ -14,7 +14,9 @@
 
     private ViolationSearch() {}
 
-    /** {@code --from 1 --count 20000 --threads 4 --shrink 3 --theme TURNS --without REPLACE}; or {@code --play FILE}. */
+    /**
+     * {@code --from 1 --count 20000 --threads 4 --shrink 3 --theme TURNS --without REPLACE}; or {@code --play FILE}.
+     */
     public static void main(String[] args) throws Exception {
         Map<String, String> options = new TreeMap<>();
         for (int i = 0; i + 1 < args.length; i += 2) {
@@ -65,7 +67,10 @@
         }
     }
 
-    /** The first seed of a theme, from one on, that breaks something, and what; null where none does. For {@link Mutants}. */
+    /**
+     * The first seed of a theme, from one on, that breaks something, and what; null where none does. For {@link
+     * MutantSearch}.
+     */
     static String first(String theme, long from, long lastSeed) {
         for (long seed = from; seed <= lastSeed; seed++) {
             InvariantViolation violation = ScheduleRunner.runSchedule(
@@ -77,7 +82,10 @@
         return null;
     }
 
-    /** Plays until so many seeds have broken something; {@code theme}: of this one only, or null; {@code without}: a step's kind. */
+    /**
+     * Plays until so many seeds have broken something; {@code theme}: of this one only, or null; {@code without}: a
+     * step's kind.
+     */
     static List<FoundViolation> search(
             long from, int count, int threads, int maxFound, ScheduleGenerator.Theme theme, String excludedKind)
             throws InterruptedException {
