--- a/src/test/java/bramblespool/coordination/controller/ControllerTestContext.java
+++ b/src/test/java/bramblespool/coordination/controller/ControllerTestContext.java
@@ -7,6 +7,7 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.Settings;
 import bramblespool.state.SettingsParser;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -24,7 +25,7 @@
     record SentMessage(String destination, String kind, JsonNode body) {}
 
     final Simulator simulator = new Simulator(1);
-    final Simulator.Machine machine = simulator.machine(ADDRESS);
+    final SimulatedMachine machine = simulator.machine(ADDRESS);
     final ReplicatedState replicatedState = new ReplicatedState();
     final List<SentMessage> sent = new ArrayList<>();
     final ControllerContext context;
--- a/src/test/java/bramblespool/coordination/controller/StoredIdentityTest.java
+++ b/src/test/java/bramblespool/coordination/controller/StoredIdentityTest.java
@@ -6,6 +6,7 @@
 
 import bramblespool.state.DurableStore;
 import bramblespool.state.Settings;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.Simulator;
 import org.junit.jupiter.api.Test;
 
@@ -14,7 +15,7 @@
     private final DurableStore store = newStore();
 
     private static DurableStore newStore() {
-        Simulator.Machine machine = new Simulator(1).machine(ControllerTestContext.ADDRESS);
+        SimulatedMachine machine = new Simulator(1).machine(ControllerTestContext.ADDRESS);
         machine.boot();
         return machine.disk;
     }
