--- a/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
+++ b/src/test/java/bramblespool/cluster/ReplicaCatchUpTest.java
@@ -18,8 +18,9 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.VoterSet;
+import bramblespool.testing.SimulatedDisk;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
-import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -35,7 +36,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A helm that missed many changes comes back; one whose state is not the group's never leads. */
+/** A controller that missed many changes comes back; one whose state is not the group's never leads. */
 class ReplicaCatchUpTest {
     /** What else goes on while the member catches up. */
     private enum Disturbance {
@@ -50,7 +51,10 @@
         RESTARTED
     }
 
-    /** {@code caughtUpMs} -1: not within the time; {@code terms}: elections won since; {@code leaderlessMs}: without a leader. */
+    /**
+     * {@code caughtUpMs} -1: not within the time; {@code terms}: elections won since; {@code leaderlessMs}: without a
+     * leader.
+     */
     private record Result(long caughtUpMs, long terms, long leaderlessMs, long kilobytes, int mostSnapshots) {}
 
     private static final int ROUTES = 1280;
@@ -105,7 +109,7 @@
         mesh.simulator.run(1000);
     }
 
-    private Simulator.Machine machine(String peer) {
+    private SimulatedMachine machine(String peer) {
         return mesh.simulator.machine(peer);
     }
 
@@ -194,7 +198,7 @@
         }
     }
 
-    /** Prints what the pages tell: missed changes, routes and Mbit/s as arguments, or all. */
+    /** Prints the figures of docs/control.md: missed changes, routes and Mbit/s as arguments, or all. */
     public static void main(String[] args) {
         for (int missedChanges :
                 args.length > 0 ? new int[] {Integer.parseInt(args[0])} : new int[] {100, 120, 300, 600}) {
@@ -214,7 +218,10 @@
         }
     }
 
-    /** Behind by a snapshot and entries of large documents, on a link that carries one document in a tenth of a second. */
+    /**
+     * Behind by a snapshot and entries of large documents, on a link that carries one document in a tenth of a
+     * second.
+     */
     @ParameterizedTest
     @EnumSource(Disturbance.class)
     void memberFarBehindCatchesUpOverSlowLink(Disturbance disturbance) {
@@ -233,7 +240,10 @@
         assertEquals(0, result.terms, result.toString());
     }
 
-    /** Each message of a heartbeat's length takes many of them: who sends is near all the same, and nobody asks to lead. */
+    /**
+     * Each message of a heartbeat's length takes many of them: who sends is near all the same, and nobody asks to
+     * lead.
+     */
     @ParameterizedTest
     @EnumSource(
             value = Disturbance.class,
@@ -245,7 +255,10 @@
         assertEquals(0, result.leaderlessMs, result.toString());
     }
 
-    /** The leader depends on a member to which the least part takes longer than an election: heartbeats go beside the parts. */
+    /**
+     * The leader depends on a member to which the least part takes longer than an election: heartbeats go beside the
+     * parts.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void heartbeatsAreSentBesideLongMessages(long seed) {
@@ -325,7 +338,10 @@
         assertTrue(machine(leaderPeer).disk.load().snapshot().index() >= 64, "folded meanwhile");
     }
 
-    /** A link that carries less than is changed: the member follows by snapshots, and status says why it never has all. */
+    /**
+     * A link that carries less than is changed: the member follows by snapshots, and status says why it never has
+     * all.
+     */
     @Test
     void linkTooSlowForChangesIsReported() {
         Result result = catchUp(1, 120, ROUTES, 0.25, Disturbance.CHANGES);
@@ -378,7 +394,10 @@
         assertTrue(text.matches("(?s).*entries behind, at \\d+; \\d+ of \\d+ kB sent.*"), text);
     }
 
-    /** The leader dies when most of the snapshot is over; the next one sends the rest, for all fold at the same indices. */
+    /**
+     * The leader dies when most of the snapshot is over; the next one sends the rest, for all fold at the same
+     * indices.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void newLeaderResumesSnapshotTransfer(long seed) {
@@ -529,10 +548,10 @@
         startCluster(seed, 10);
         applyChanges(40, 10);
         mesh.killController(laggingPeer, true);
-        Simulator.Disk disk = machine(laggingPeer).disk;
+        SimulatedDisk disk = machine(laggingPeer).disk;
         DurableStore.PersistentState savedBefore = disk.load();
         DurableStore.Snapshot snapshot = savedBefore.snapshot();
-        Field heldField = Simulator.Disk.class.getDeclaredField("held");
+        Field heldField = SimulatedDisk.class.getDeclaredField("held");
         heldField.setAccessible(true);
         heldField.set(
                 disk,
@@ -576,7 +595,7 @@
         return controller.replicatedState().evacuations().containsKey("nowhere");
     }
 
-    /** A follower's state goes astray: found at the next checkpoint, and mended without losing an entry it has. */
+    /** A follower's state diverges: found at the next checkpoint, and replaced without losing an entry it has. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void divergentFollowerAdoptsGroupState(long seed) {
@@ -594,7 +613,7 @@
             submitNext(10);
             mesh.simulator.run(100);
         }
-        assertFalse(isStateCorrupted(member), "mended after " + (version - 41) + " changes");
+        assertFalse(isStateCorrupted(member), "replaced after " + (version - 41) + " changes");
         assertTrue(version - 41 <= 10, version + " is the version by now");
         mesh.simulator.run(1000);
         assertEquals(stateOf(mesh.leader()), stateOf(member));
--- a/src/test/java/bramblespool/coordination/configuration/PhaseHandlerTest.java
+++ b/src/test/java/bramblespool/coordination/configuration/PhaseHandlerTest.java
@@ -7,6 +7,7 @@
 import bramblespool.state.InvalidConfigurationException;
 import bramblespool.state.RoutingConfiguration;
 import bramblespool.state.RoutingConfigurationParser;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import org.junit.jupiter.api.BeforeEach;
@@ -23,7 +24,7 @@
 
     @BeforeEach
     void adoptFirstVersion() throws InvalidConfigurationException {
-        Simulator.Machine machine = new Simulator(1).machine("10.0.1.1:7000");
+        SimulatedMachine machine = new Simulator(1).machine("10.0.1.1:7000");
         machine.boot();
         participant = new ShadowCommitParticipant(machine, 1000, EventLog.silent());
         participant.adopt(RoutingConfigurationParser.parse(SimulatedMesh.document(5, 0, "p5")), true);
--- a/src/test/java/bramblespool/model/Invariants.java
+++ b/src/test/java/bramblespool/model/Invariants.java
@@ -7,6 +7,7 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.ReplicatedStateSnapshotCodec;
 import bramblespool.state.RoutingConfiguration;
+import bramblespool.testing.SimulatedMachine;
 import bramblespool.testing.SimulatedMesh;
 import bramblespool.testing.Simulator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -59,7 +60,7 @@
     // ---- messages
 
     @Override
-    public void onSent(Simulator.Machine from, String kind, ObjectNode body) {
+    public void onSent(SimulatedMachine from, String kind, ObjectNode body) {
         if (RaftView.isSentByLeader(kind)) {
             recordLeader(body.path("term").asLong(), body.path("from").asText());
         }
@@ -67,12 +68,12 @@
 
     /** Whoever answers yes to a vote or to entries has them on its disk. */
     @Override
-    public void onAnswered(Simulator.Machine machine, String kind, JsonNode request, JsonNode answer) {
+    public void onAnswered(SimulatedMachine machine, String kind, JsonNode request, JsonNode answer) {
         boolean vote = kind.equals("vote")
                 && !request.path("pre").asBoolean()
                 && answer.path("ok").asBoolean();
-        long told = RaftView.acknowledgedIndex(kind, request, answer);
-        if (!vote && told == 0) {
+        long acknowledgedIndex = RaftView.acknowledgedIndex(kind, request, answer);
+        if (!vote && acknowledgedIndex == 0) {
             return;
         }
         DurableStore.PersistentState saved = machine.disk.load();
@@ -90,7 +91,7 @@
                 : saved.entries().get(saved.entries().size() - 1).index();
         if (vote
                 ? saved.currentTerm() < term || !request.path("from").asText().equals(saved.votedFor())
-                : last < told) {
+                : last < acknowledgedIndex) {
             throw new InvariantViolation(
                     "DurableBeforeTold", member + " says yes to " + kind + " before its disk has it");
         }
@@ -119,7 +120,7 @@
 
     @Override
     public void onWritten(
-            Simulator.Machine machine,
+            SimulatedMachine machine,
             DurableStore.Change change,
             DurableStore.PersistentState before,
             DurableStore.PersistentState after) {
@@ -209,7 +210,7 @@
                 && replayed(saved).isCommitted(change.digest);
     }
 
-    /** Who folds what a disk holds into a ledger: what this helm would know were it alone and all there agreed. */
+    /** Applies what a disk holds: the state of this controller were it alone and all its entries committed. */
     private static ReplicatedState replayed(DurableStore.PersistentState saved) {
         ReplicatedState replayedState = new ReplicatedState();
         if (saved.snapshot() != null && saved.snapshot().data() != null) {
@@ -230,7 +231,7 @@
     // ---- answers
 
     /** A disk is about to be lost: for a moment it counts among those that an entry had reached. */
-    void onDiskWiped(Simulator.Machine machine) {
+    void onDiskWiped(SimulatedMachine machine) {
         if (!machine.disk.isEmpty()) {
             recentlyLostDisks.put(machine.disk.load(), mesh.simulator.nowMs());
         }
@@ -238,7 +239,7 @@
 
     private List<DurableStore.PersistentState> disks() {
         List<DurableStore.PersistentState> out = new ArrayList<>();
-        for (Simulator.Machine machine : mesh.simulator.machines()) {
+        for (SimulatedMachine machine : mesh.simulator.machines()) {
             if (!machine.disk.isEmpty()) {
                 out.add(machine.disk.load());
             }
@@ -309,7 +310,7 @@
         mesh.sidecars.forEach(this::checkSidecar);
     }
 
-    /** Two helms that have applied the same entries know the same. */
+    /** Two controllers that have applied the same entries have the same state. */
     private void checkState(long index, String state, String member) {
         String other = stateByIndex.putIfAbsent(index, state);
         if (other != null && !other.equals(state)) {
--- a/src/test/java/bramblespool/testing/SimulatedMesh.java
+++ b/src/test/java/bramblespool/testing/SimulatedMesh.java
@@ -18,7 +18,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Helms and wefts of several zones on a simulated world, with an operator who follows the leader. */
+/**
+ * Controllers, sidecars and gateways of several zones in a {@link Simulator}, with an operator who follows the
+ * leader.
+ */
 public final class SimulatedMesh {
     public final Simulator simulator;
     public final Map<String, ControllerNode> controllers = new LinkedHashMap<>();
@@ -61,7 +64,10 @@
         this(seed, controllerCount, sidecarCount, 1, null);
     }
 
-    /** {@code losses}: the disks that may be lost at one time; {@code platform}: who keeps the list, or null for a mesh. */
+    /**
+     * {@code losses}: the disks that may be lost at one time; {@code platform}: who keeps the list, or null for a
+     * mesh.
+     */
     public SimulatedMesh(
             long seed, int controllerCount, int proxyCount, int toleratedDiskLosses, SimulatedPlatform platform) {
         this(seed, controllerCount, proxyCount, toleratedDiskLosses, platform, false);
@@ -186,7 +192,7 @@
     }
 
     private ControllerNode startController(String peer, boolean isBootstrap, DurableStore durableStore) {
-        Simulator.Machine machine = simulator.machine(peer);
+        SimulatedMachine machine = simulator.machine(peer);
         machine.boot();
         ControllerNode controller = new ControllerNode(
                 settings(peer, seedAddresses, isBootstrap),
@@ -209,7 +215,7 @@
 
     public void startSidecar(String peer) {
         DataPlaneNode sidecar = startProxy(peer, sidecars);
-        Simulator.Machine machine = simulator.machine(peer);
+        SimulatedMachine machine = simulator.machine(peer);
         String id = "s-" + peer + "-" + ++heartbeatCount;
         machine.scheduleRepeatedly(
                 1500,
@@ -229,7 +235,7 @@
     }
 
     private DataPlaneNode startProxy(String peer, Map<String, DataPlaneNode> proxies) {
-        Simulator.Machine machine = simulator.machine(peer);
+        SimulatedMachine machine = simulator.machine(peer);
         machine.boot();
         DataPlaneNode proxy =
                 new DataPlaneNode(settings(peer, seedAddresses, false), machine, machine, EventLog.silent());
@@ -301,7 +307,7 @@
         }
     }
 
-    /** Sends a change to whoever leads now; nothing is heard where nobody does or the leader goes. */
+    /** Sends a change to the present leader; there is no answer where there is none or the leader is lost. */
     public void submitToLeader(OperatorRequest.ConfigurationChange change, Consumer<OperatorRequest.Result> onOutcome) {
         ControllerNode controller = leader();
         if (controller != null) {
