--- a/src/test/java/bramblespool/model/OperatorEndpoint.java
+++ b/src/test/java/bramblespool/model/OperatorEndpoint.java
@@ -25,21 +25,21 @@
     }
 
     @Override
-    public void handleRequest(String kind, JsonNode m, Consumer<ObjectNode> answer) {
+    public void handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
         if (!kind.equals(KIND)) {
-            controller.handleRequest(kind, m, answer);
+            controller.handleRequest(kind, request, callback);
             return;
         }
         if (!RaftView.isLeader(controller)) {
             String leader = RaftView.leaderControl(controller);
-            answer.accept(leader == null ? status(503) : status(307).put("location", leader));
+            callback.accept(leader == null ? status(503) : status(307).put("location", leader));
             return;
         }
-        switch (m.path("do").asText()) {
+        switch (request.path("do").asText()) {
             case "read" ->
                 controller.readConfiguration(result -> {
                     if (result instanceof ConfigurationReadResult.Unconfirmed) {
-                        answer.accept(status(503));
+                        callback.accept(status(503));
                         return;
                     }
                     boolean isNone = result instanceof ConfigurationReadResult.None;
@@ -48,25 +48,25 @@
                             : ((ConfigurationReadResult.Current) result)
                                     .version()
                                     .epoch();
-                    runner.history.recordRead(epoch, m.path("began").asLong(), runner.logicalTime());
-                    answer.accept(status(isNone ? 404 : 200).put("current", epoch));
+                    runner.history.recordRead(epoch, request.path("began").asLong(), runner.logicalTime());
+                    callback.accept(status(isNone ? 404 : 200).put("current", epoch));
                 });
             case "evacuate" -> {
-                String zone = m.path("zone").asText();
-                boolean on = m.path("on").asBoolean();
-                controller.evacuate(zone, on, outcome -> {
-                    boolean ok = outcome == EvacuationOutcome.COMMITTED;
-                    if (ok) {
-                        runner.invariants.onEvacuationAcknowledged(zone, on);
+                String zone = request.path("zone").asText();
+                boolean isEvacuated = request.path("on").asBoolean();
+                controller.evacuate(zone, isEvacuated, outcome -> {
+                    boolean isCommitted = outcome == EvacuationOutcome.COMMITTED;
+                    if (isCommitted) {
+                        runner.invariants.onEvacuationAcknowledged(zone, isEvacuated);
                     }
-                    answer.accept(status(ok ? 200 : 503));
+                    callback.accept(status(isCommitted ? 200 : 503));
                 });
             }
-            default -> change(m, answer);
+            default -> change(request, callback);
         }
     }
 
-    private void change(JsonNode request, Consumer<ObjectNode> answer) {
+    private void change(JsonNode request, Consumer<ObjectNode> callback) {
         OperatorRequest.ConfigurationChange change;
         try {
             change = OperatorRequest.parseChange(
@@ -83,7 +83,7 @@
                 runner.history.recordRejected(
                         sent, outcome.status(), request.path("began").asLong(), runner.logicalTime());
             }
-            answer.accept(status(outcome.status()));
+            callback.accept(status(outcome.status()));
         });
     }
 
