--- a/src/main/java/bramblespool/coordination/register/RegisterVoters.java
+++ b/src/main/java/bramblespool/coordination/register/RegisterVoters.java
@@ -5,7 +5,6 @@
 import bramblespool.state.ReplicatedState;
 import bramblespool.state.VoterSet;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -46,7 +45,7 @@
     }
 
     /** The member ids of all voters; while they change, of those before and after. */
-    Collection<String> ids() {
+    Set<String> ids() {
         return replicatedState.voterSinceIndexes().keySet();
     }
 
--- a/src/test/java/bramblespool/coordination/register/RegisterRoundTrip.java
+++ b/src/test/java/bramblespool/coordination/register/RegisterRoundTrip.java
@@ -6,6 +6,7 @@
 public final class RegisterRoundTrip {
     private RegisterRoundTrip() {}
 
+    /** A batch of requests. */
     public static JsonNode batch(JsonNode request) {
         return RegisterCodec.encode(RegisterCodec.decodeBatch(request));
     }
@@ -18,10 +19,12 @@
                         RegisterCodec.decodeBatch(request).requests(), RegisterCodec.decodeReplies(answer));
     }
 
+    /** A request for a page. */
     public static JsonNode pageRequest(JsonNode request) {
         return RegisterCodec.encode(RegisterCodec.decodePageRequest(request));
     }
 
+    /** The answer to a request for a page. */
     public static JsonNode page(JsonNode answer) {
         return RegisterCodec.decodePage(answer).map(RegisterCodec::encode).orElseGet(RegisterCodec::refusal);
     }
