--- a/src/main/java/bramblespool/coordination/configuration/CommitPhase.java
+++ b/src/main/java/bramblespool/coordination/configuration/CommitPhase.java
@@ -11,12 +11,16 @@
  *
  * <pre>
  *   TAG_DISTRIBUTION --all acknowledged, decision committed--&gt; TAG_PACKET
- *   TAG_DISTRIBUTION --an acknowledgement is missing or negative--&gt; ABORT
+ *   TAG_DISTRIBUTION --a proxy rejects the candidate--&gt; ABORT
+ *   TAG_DISTRIBUTION --an acknowledgement is missing, first attempt--&gt; ABORT --&gt; TAG_DISTRIBUTION
+ *   TAG_DISTRIBUTION --an acknowledgement is missing, last attempt; decision committed--&gt; TAG_PACKET
  *   TAG_PACKET --latency bound over--&gt; SWAP --&gt; MARK_SHADOW_BIT
  * </pre>
  *
  * <p>Departure from the paper: the decision between phases 1 and 2 is replicated among the controllers and is never
- * rolled back, so section 6.3's roll-back of an unfinished phase 3 does not exist here (docs/design.md).
+ * rolled back, so section 6.3's roll-back of an unfinished phase 3 does not exist here; and a proxy that stays silent
+ * ends an attempt, not the commit, because one lost machine would otherwise stop every change (docs/design.md). The
+ * last attempt goes to those only that acknowledged the one before.
  */
 public enum CommitPhase {
     /** Withdraws the candidate where phase 1 failed (section 6.3: "the commitment should abort"). */
