--- a/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
+++ b/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
@@ -220,12 +220,17 @@
         });
     }
 
-    /** Takes a shard whose register is empty or forgotten; the fencing token has to rise all the same. */
+    /**
+     * Takes a shard whose register is empty or forgotten. Proxies may still remember a higher fencing token than 1 from
+     * before, which nobody here knows; so it begins with the time of day in milliseconds. Later ones rise by one for
+     * each take-over or refresh, far slower than time; only a clock that was set back could begin below one.
+     */
     private void takeOwnerless(String shard, String currentValue) {
         ShardOwner newOwner = new ShardOwner(peer, lease.id(), clock.wallTimeMs());
         writeOwner(shard, newOwner, currentValue, () -> beginOwnership(shard, true));
     }
 
+    /** Takes a shard over, or writes an own one anew; either raises the fencing token by one. */
     private void takeFrom(String shard, ShardOwner previousOwner) {
         ShardOwner newOwner = new ShardOwner(peer, lease.id(), previousOwner.fencingToken() + 1);
         boolean wasOwn = previousOwner.peer().equals(peer) && lease.isOfThisProcess(previousOwner.leaseId());
