--- a/src/main/java/bramblespool/state/StoreSchema.java
+++ b/src/main/java/bramblespool/state/StoreSchema.java
@@ -34,7 +34,7 @@
     static final String PUT_SNAPSHOT = "INSERT OR REPLACE INTO snapshot VALUES(1,?,?,?,?,?)";
     static final String SELECT_REGISTERS = "SELECT seq, id, promised, accepted, value, sum FROM register ORDER BY seq";
     static final String PUT_REGISTER = "INSERT OR REPLACE INTO register VALUES(?,?,?,?,?,?)";
-    /** Rows without an id are the store's own marks, and stay. */
+    /** Rows without an id are not registers but the register layer's marks, which do not expire. */
     static final String DELETE_REGISTERS_UP_TO = "DELETE FROM register WHERE seq<=? AND id<>''";
 
     /** {@code id} of the only row of the tables {@code self} and {@code snapshot}. */
@@ -44,7 +44,7 @@
     private record Table(String name, String definitions, String columns) {}
 
     private static final List<Table> TABLES = List.of(
-            // The member itself: who it is, its term and vote, and the highest index known to be committed.
+            // The member itself: who it is, its term and vote, and (agreed) the highest index known to be committed.
             new Table(
                     "self",
                     "id INTEGER PRIMARY KEY CHECK(id=1), incarnation TEXT, term INTEGER, vote TEXT, agreed INTEGER",
