--- a/src/main/java/bramblespool/raft/LocalMembership.java
+++ b/src/main/java/bramblespool/raft/LocalMembership.java
@@ -5,7 +5,7 @@
 
 /** This member's own joining and leaving of the group, asked of whoever leads. Confined to the event loop. */
 final class LocalMembership {
-    /** Ratio to the absence time after which a voter that hears no leader asks to be taken in again. */
+    /** Ratio to the absence time after which a voter without contact to a leader asks to be added again. */
     private static final int REJOIN_RATIO = 2;
 
     private final RaftContext context;
--- a/src/main/java/bramblespool/raft/StateDigests.java
+++ b/src/main/java/bramblespool/raft/StateDigests.java
@@ -56,7 +56,7 @@
         return Optional.ofNullable(localDigests.get(index));
     }
 
-    // ---- the leader's side
+    // ---- the leader's part
 
     /** Forgets what members have reported to an earlier leadership. */
     void clearReported() {
