--- a/src/main/java/bramblespool/coordination/configuration/ChangeOutcome.java
+++ b/src/main/java/bramblespool/coordination/configuration/ChangeOutcome.java
@@ -52,7 +52,9 @@
     }
 
     /**
-     * Proxies found the candidate invalid in phase 1, and the commit was aborted.
+     * Proxies found the candidate invalid in phase 1, and the commit was aborted. The leader's parser has accepted
+     * the same document, so this shows a damaged copy or another version of the program at the proxy rather than a
+     * fault of the change: the operator is to ask again.
      *
      * @param proxies their nodes
      */
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -392,10 +392,8 @@
             sources.add(controller());
         }
         // Other controllers have the document where this session's does not; proxies of the own zone may be as far
-        // behind
-        // as this one. Without a session all controllers may be down, and each silent one costs a time-out, while a
-        // proxy
-        // without the document answers at once.
+        // behind as this one. Without a session all controllers may be down, and each silent one costs a time-out,
+        // while a proxy without the document answers at once.
         List<String> controllers = new ArrayList<>(EndpointDirectory.controllerAddresses(gossip, settings));
         controllers.removeAll(sources);
         Set<String> additional = new LinkedHashSet<>();
