--- a/src/main/java/bramblespool/coordination/tenancy/TenantRateLimiter.java
+++ b/src/main/java/bramblespool/coordination/tenancy/TenantRateLimiter.java
@@ -90,8 +90,7 @@
         }
         bucket.deniedCount++;
         // The further a tenant is over its limit, the longer each proxy rejects its requests by itself: one tenant's
-        // excess
-        // must not take up the owner.
+        // excess must not take up the owner.
         long waitMs = windowMs / MIN_WAIT_DIVISOR + (long) (bucket.denialRatio * windowMs / MAX_WAIT_DIVISOR);
         return (long) (waitMs * (0.75 + clock.random() / 2));
     }
