--- a/src/test/java/bramblespool/coordination/singleton/ClusterClockTest.java
+++ b/src/test/java/bramblespool/coordination/singleton/ClusterClockTest.java
@@ -2,11 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import bramblespool.testing.FakeClock;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class ClusterClockTest {
-    private final ManualClock clock = new ManualClock(5000);
+    private final FakeClock clock = FakeClock.readOnly(5000);
     private final ClusterClock clusterClock = new ClusterClock(clock);
 
     @Test
--- a/src/test/java/bramblespool/coordination/singleton/ReportBackoffTest.java
+++ b/src/test/java/bramblespool/coordination/singleton/ReportBackoffTest.java
@@ -4,11 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import bramblespool.testing.FakeClock;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class ReportBackoffTest {
-    private final ManualClock clock = new ManualClock(0);
+    private final FakeClock clock = FakeClock.readOnly(0);
 
     /** How long the backoff pauses from now on. */
     private long pauseOf(ReportBackoff backoff) {
--- a/src/test/java/bramblespool/coordination/singleton/UsageCollectorTest.java
+++ b/src/test/java/bramblespool/coordination/singleton/UsageCollectorTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import bramblespool.testing.FakeClock;
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
@@ -9,7 +10,7 @@
 class UsageCollectorTest {
     private static final UsageWindows WINDOWS = new UsageWindows(2000, 4000);
 
-    private final ManualClock clock = new ManualClock(0);
+    private final FakeClock clock = FakeClock.readOnly(0);
     private final UsageCollector collector = new UsageCollector(clock, WINDOWS);
 
     private void add(String node, String incarnation, long window, int runs) {
--- a/src/test/java/bramblespool/coordination/singleton/UsageCounterTest.java
+++ b/src/test/java/bramblespool/coordination/singleton/UsageCounterTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import bramblespool.testing.FakeClock;
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -9,7 +10,7 @@
 class UsageCounterTest {
     private static final long WINDOW_MS = 2000;
 
-    private final ManualClock clock = new ManualClock(40 * WINDOW_MS);
+    private final FakeClock clock = FakeClock.readOnly(40 * WINDOW_MS);
     private final UsageCounter counter =
             new UsageCounter(new ClusterClock(clock), "p", new UsageWindows(WINDOW_MS, 2 * WINDOW_MS));
 
--- a/src/test/java/bramblespool/proxy/SocketTestContext.java
+++ b/src/test/java/bramblespool/proxy/SocketTestContext.java
@@ -62,7 +62,11 @@
         }
     }
 
-    /** A clock that stands still until the test advances it. */
+    /**
+     * A clock that stands still until the test advances it. It differs from {@link bramblespool.testing.FakeClock}
+     * since the proxies run on a real event loop: tasks run on its thread while the test advances the time from
+     * another, and a task without delay goes to that loop at once, not at the next advance. Its random numbers vary.
+     */
     static final class ManualClock implements Clock {
         private record ScheduledTask(long atMs, long sequence, Runnable task) {}
 
--- a/src/test/java/bramblespool/raft/FollowerTest.java
+++ b/src/test/java/bramblespool/raft/FollowerTest.java
@@ -46,7 +46,7 @@
     @Test
     void slowDiskIsReportedBeforeAHeartbeatIsOver() {
         append(1, 0, 0, new LogEntry(2, 1, "x"));
-        test.advance(125);
+        test.clock.advance(125);
         assertEquals(
                 List.of(new PartiallyDurable(1)),
                 answers.stream().map(RaftResponse::progress).toList());
--- a/src/test/java/bramblespool/raft/MembershipChangeTest.java
+++ b/src/test/java/bramblespool/raft/MembershipChangeTest.java
@@ -21,19 +21,19 @@
     MembershipChangeTest() {
         test.raftLog.advanceCommitIndex(1);
         leader.markReady();
-        test.advance(RaftTestContext.TIMEOUTS.electionMs() + 1);
+        test.clock.advance(RaftTestContext.TIMEOUTS.electionMs() + 1);
         answer("b:1#0");
         answer("c:1#0");
     }
 
     private void answer(String memberId) {
-        FollowerProgress follower = leader.getOrAddFollower(memberId, 2, test.nowMs());
-        follower.onContact(test.nowMs(), test.nowMs(), 1, RaftResponse.of(1, true, true));
+        FollowerProgress follower = leader.getOrAddFollower(memberId, 2, test.clock.nowMs());
+        follower.onContact(test.clock.nowMs(), test.clock.nowMs(), 1, RaftResponse.of(1, true, true));
         follower.onReplicated(1, OptionalLong.empty(), 1);
     }
 
     private Optional<List<String>> next() {
-        return change.nextVoterSet(leader, test.nowMs()).map(VoterSet::encoded);
+        return change.nextVoterSet(leader, test.clock.nowMs()).map(VoterSet::encoded);
     }
 
     @Test
@@ -45,18 +45,18 @@
 
     @Test
     void silentVoterGivesWayToALearnerByJointConsensus() {
-        test.advance(RaftTestContext.TIMEOUTS.absentMs());
+        test.clock.advance(RaftTestContext.TIMEOUTS.absentMs());
         change.addLearner("d:1#i");
         answer("b:1#0");
         answer("d:1#i");
         assertEquals(Optional.empty(), next(), "not before the absence time is over");
-        test.advance(1);
+        test.clock.advance(1);
         assertEquals(Optional.of(List.of("a:1#0", "b:1#0", "-c:1#0", "+d:1#i")), next());
     }
 
     @Test
     void newIncarnationReplacesTheOldOneAfterAnElectionTime() {
-        test.advance(RaftTestContext.TIMEOUTS.electionMs() + 1);
+        test.clock.advance(RaftTestContext.TIMEOUTS.electionMs() + 1);
         change.addLearner("c:1#i");
         answer("b:1#0");
         answer("c:1#i");
--- a/src/test/java/bramblespool/raft/QuorumStateTest.java
+++ b/src/test/java/bramblespool/raft/QuorumStateTest.java
@@ -63,12 +63,12 @@
     void leaderIsRecentForOneElectionTimeAndInContactForTwo() {
         assertFalse(quorum.hasRecentLeader());
         quorum.onLeaderRequest(RaftTestContext.header("b:1#0", 0, 1, 0));
-        test.advance(999);
+        test.clock.advance(999);
         assertTrue(quorum.hasRecentLeader());
-        test.advance(1);
+        test.clock.advance(1);
         assertFalse(quorum.hasRecentLeader());
         assertTrue(quorum.hasLeaderContact());
-        test.advance(1000);
+        test.clock.advance(1000);
         assertFalse(quorum.hasLeaderContact());
     }
 
--- a/src/test/java/bramblespool/raft/RaftTestContext.java
+++ b/src/test/java/bramblespool/raft/RaftTestContext.java
@@ -3,26 +3,21 @@
 import bramblespool.state.DurableStore;
 import bramblespool.state.EventLog;
 import bramblespool.state.VoterSet;
-import bramblespool.transport.Clock;
+import bramblespool.testing.FakeClock;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.OptionalLong;
 
-/**
- * A clock moved by hand, a disk that keeps what it is given until told to, and the parts that unit tests begin with.
- */
-final class RaftTestContext implements Clock, DurableStore {
+/** A fake clock, a disk that keeps what it is given until told to, and the parts that unit tests begin with. */
+final class RaftTestContext implements DurableStore {
     static final RaftTimeouts TIMEOUTS = new RaftTimeouts(1000, 250, 600, 3000);
 
-    private record Task(long atMs, Runnable task) {}
-
-    private final List<Task> tasks = new ArrayList<>();
+    final FakeClock clock = FakeClock.startingAt(100_000);
     private final List<Runnable> pendingWrites = new ArrayList<>();
     final List<Change> changes = new ArrayList<>();
-    private long nowMs = 100_000;
 
-    final RaftContext context = new RaftContext("a:1#0", "a:2", 2, this, TIMEOUTS, EventLog.silent());
+    final RaftContext context = new RaftContext("a:1#0", "a:2", 2, clock, TIMEOUTS, EventLog.silent());
     final RaftLog raftLog;
     final QuorumState quorum;
     final RaftStorage storage;
@@ -41,13 +36,6 @@
         storage = new RaftStorage(this, context, quorum, raftLog);
     }
 
-    void advance(long durationMs) {
-        nowMs += durationMs;
-        List<Task> due = tasks.stream().filter(task -> task.atMs <= nowMs).toList();
-        tasks.removeAll(due);
-        due.forEach(task -> task.task.run());
-    }
-
     /** All that was written reaches the disk. */
     void completeWrites() {
         List<Runnable> writes = List.copyOf(pendingWrites);
@@ -71,28 +59,6 @@
                 false);
     }
 
-    @Override
-    public long nowMs() {
-        return nowMs;
-    }
-
-    @Override
-    public long wallTimeMs() {
-        return nowMs;
-    }
-
-    @Override
-    public Timer schedule(long delayMs, Runnable task) {
-        Task scheduled = new Task(nowMs + delayMs, task);
-        tasks.add(scheduled);
-        return () -> tasks.remove(scheduled);
-    }
-
-    @Override
-    public double random() {
-        return 0.5;
-    }
-
     @Override
     public void save(Change change, Runnable onDurable) {
         changes.add(change);
@@ -101,7 +67,7 @@
 
     @Override
     public long pendingSinceMs() {
-        return pendingWrites.isEmpty() ? -1 : nowMs;
+        return pendingWrites.isEmpty() ? -1 : clock.nowMs();
     }
 
     @Override
--- a/src/test/java/bramblespool/raft/StateDigestsTest.java
+++ b/src/test/java/bramblespool/raft/StateDigestsTest.java
@@ -16,8 +16,8 @@
     private final RaftTestContext test = new RaftTestContext("a:1#0", "b:1#0", "c:1#0");
     private final StateDigests digests = new StateDigests(test.context, test.raftLog);
     private final LeaderState leader = test.becomeLeader();
-    private final FollowerProgress followerB = leader.getOrAddFollower("b:1#0", 2, test.nowMs());
-    private final FollowerProgress followerC = leader.getOrAddFollower("c:1#0", 2, test.nowMs());
+    private final FollowerProgress followerB = leader.getOrAddFollower("b:1#0", 2, test.clock.nowMs());
+    private final FollowerProgress followerC = leader.getOrAddFollower("c:1#0", 2, test.clock.nowMs());
 
     StateDigestsTest() {
         digests.add(32, "same");
--- a/src/test/java/bramblespool/raft/VoterLeasesTest.java
+++ b/src/test/java/bramblespool/raft/VoterLeasesTest.java
@@ -22,12 +22,12 @@
     void followerHoldsALeaseFromTheAnswerThatItsLeaderHasReceived() {
         receive(1, 0);
         assertFalse(leases.isHeld());
-        test.advance(500);
+        test.clock.advance(500);
         receive(2, 1);
         assertTrue(leases.isHeld());
-        test.advance(1499);
+        test.clock.advance(1499);
         assertTrue(leases.isHeld());
-        test.advance(1);
+        test.clock.advance(1);
         assertFalse(leases.isHeld(), "2000 ms after the first answer");
     }
 
@@ -43,10 +43,10 @@
         LeaderState leader = test.becomeLeader();
         leader.markReady();
         assertFalse(leases.isHeld());
-        FollowerProgress follower = leader.getOrAddFollower("b:1#0", 1, test.nowMs());
-        follower.onContact(test.nowMs(), test.nowMs(), 1, RaftResponse.of(1, true, true));
+        FollowerProgress follower = leader.getOrAddFollower("b:1#0", 1, test.clock.nowMs());
+        follower.onContact(test.clock.nowMs(), test.clock.nowMs(), 1, RaftResponse.of(1, true, true));
         assertTrue(leases.isHeld());
-        test.advance(2000);
+        test.clock.advance(2000);
         assertFalse(leases.isHeld());
     }
 
@@ -55,21 +55,21 @@
         receive(1, 0);
         LeaderState leader = test.becomeLeader();
         assertEquals(List.of("a:1", "b:1", "c:1"), leases.holderAddresses(leader));
-        test.advance(1201);
+        test.clock.advance(1201);
         assertEquals(List.of("a:1", "c:1"), leases.holderAddresses(leader), "the last leader's own ends first");
-        test.advance(2000);
+        test.clock.advance(2000);
         assertEquals(List.of("a:1"), leases.holderAddresses(leader));
     }
 
     @Test
     void followerThatAnswersCountsAsHolder() {
         LeaderState leader = test.becomeLeader();
-        test.advance(5000);
+        test.clock.advance(5000);
         FollowerProgress follower = leader.getOrAddFollower("b:1#0", 1, 0);
-        follower.onContact(test.nowMs(), test.nowMs(), 1, RaftResponse.of(1, true, true));
-        test.advance(2199);
+        follower.onContact(test.clock.nowMs(), test.clock.nowMs(), 1, RaftResponse.of(1, true, true));
+        test.clock.advance(2199);
         assertEquals(List.of("a:1", "b:1"), leases.holderAddresses(leader));
-        test.advance(1);
+        test.clock.advance(1);
         assertEquals(List.of("a:1"), leases.holderAddresses(leader));
     }
 }
