--- a/src/test/java/bramblespool/raft/LogReplicatorTest.java
+++ b/src/test/java/bramblespool/raft/LogReplicatorTest.java
@@ -123,7 +123,7 @@
         answer(OTHER_B, true, new PartiallyDurable(2));
         test.completeWrites();
         assertNothingMoreIsCommitted("the entry of the leader's term is on its own disk alone");
-        test.advance(RaftTestContext.TIMEOUTS.heartbeatMs());
+        test.clock.advance(RaftTestContext.TIMEOUTS.heartbeatMs());
         replicator.replicateDue();
         answer(OTHER_B, true, Complete.INSTANCE);
         assertBothEntriesAreCommitted();
