--- a/src/main/java/bramblespool/coordination/traffic/ServerAdmission.java
+++ b/src/main/java/bramblespool/coordination/traffic/ServerAdmission.java
@@ -533,14 +533,6 @@
         return nowMs - createdMs < SECOND_MS && serverAgeMs > nowMs - createdMs + START_TIME_TOLERANCE_MS;
     }
 
-    /** How long a request that came now would wait for a slot. */
-    public long expectedWaitMs() {
-        if (runningRequests < capacity && queue.isEmpty()) {
-            return 0;
-        }
-        return (long) (meanLatencyMs * (queue.size() + 1) / Math.max(1, capacity));
-    }
-
     /** Whether a request should be sent here rather than to the other server of the same service. */
     boolean precedes(ServerAdmission other) {
         if (isAccepting() != other.isAccepting()) {
