--- a/src/main/java/bramblespool/state/ColumnTable.java
+++ b/src/main/java/bramblespool/state/ColumnTable.java
@@ -10,7 +10,8 @@
 import java.util.Set;
 
 /**
- * The form that tables of a configuration document have: the names of the columns once, then each item as a row of values.
+ * The form that tables of a configuration document have: the names of the columns once, then each item as a row of
+ * values.
  */
 final class ColumnTable {
     private static final String COLUMNS = "columns";
--- a/src/main/java/bramblespool/state/CompressedDocument.java
+++ b/src/main/java/bramblespool/state/CompressedDocument.java
@@ -9,8 +9,8 @@
 import java.util.zip.Inflater;
 
 /**
- * The form in which documents are stored and sent between processes: deflated, then Base64 without padding, which JSON need
- * not escape. Stateless, and so safe on any thread.
+ * The form in which documents are stored and sent between processes: deflated, then Base64 without padding, which JSON
+ * need not escape. Stateless, and so safe on any thread.
  */
 public final class CompressedDocument {
     /** Larger documents are rejected when an operator sends them: what inflates to more is none of ours. */
--- a/src/main/java/bramblespool/state/DocumentReader.java
+++ b/src/main/java/bramblespool/state/DocumentReader.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the fields of a JSON object with their types checked. A field at fault gives its default and adds a fault with its
- * place to a list that all readers of a document share: so all faults are known before any is reported. The order of the
- * faults is that of the calls. Not thread-safe.
+ * Reads the fields of a JSON object with their types checked. A field at fault gives its default and adds a fault with
+ * its place to a list that all readers of a document share: so all faults are known before any is reported. The order
+ * of the faults is that of the calls. Not thread-safe.
  */
 public final class DocumentReader {
     private static final double MS_PER_SECOND = 1000;
@@ -154,7 +154,9 @@
         return defaultValue;
     }
 
-    /** A server's state, {@code ready} or {@code draining}, that must be there; another text is a fault, and is given. */
+    /**
+     * A server's state, {@code ready} or {@code draining}, that must be there; another text is a fault, and is given.
+     */
     public String serverState(String field) {
         String state = string(field);
         if (state != null && !state.equals(READY) && !state.equals(DRAINING)) {
@@ -236,8 +238,8 @@
     }
 
     /**
-     * A reader of an object within this one. Where it is missing, that alone is the fault: what is then read from the reader
-     * given adds no more.
+     * A reader of an object within this one. Where it is missing, that alone is the fault: what is then read from the
+     * reader given adds no more.
      */
     public DocumentReader section(String field) {
         String sectionPath = path + field + ".";
--- a/src/main/java/bramblespool/state/DurableStore.java
+++ b/src/main/java/bramblespool/state/DurableStore.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What a controller keeps on its disk: its part of the replicated log and its registers. Writes take effect in the order in
- * which they are handed over; one that fails is tried again until it succeeds, and until then nothing after it is durable.
- * Confined to the event loop.
+ * What a controller keeps on its disk: its part of the replicated log and its registers. Writes take effect in the
+ * order in which they are handed over; one that fails is tried again until it succeeds, and until then nothing after
+ * it is durable. Confined to the event loop.
  */
 public interface DurableStore {
     /** An entry of the replicated log. */
@@ -69,8 +69,8 @@
     PersistentState load();
 
     /**
-     * Whether this disk has held a database that was lost and moved out of the way. It counts as empty then, but was not
-     * always so: whoever initializes it again may have voted before.
+     * Whether this disk has held a database that was lost and moved out of the way. It counts as empty then, but was
+     * not always so: whoever initializes it again may have voted before.
      */
     default boolean hasQuarantinedDatabase() {
         return false;
--- a/src/main/java/bramblespool/state/QuarantinedDatabases.java
+++ b/src/main/java/bramblespool/state/QuarantinedDatabases.java
@@ -7,8 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Damaged databases that were moved out of the way. They are never repaired or read, but may be looked at by people; and as
- * long as there is one, the disk is known to have been used before. Not thread-safe.
+ * Damaged databases that were moved out of the way. They are never repaired or read, but may be looked at by people;
+ * and as long as there is one, the disk is known to have been used before. Not thread-safe.
  */
 final class QuarantinedDatabases {
     static final String PREFIX = SqliteDatabaseFiles.DATABASE + ".aside-";
--- a/src/main/java/bramblespool/state/ReplicatedEntry.java
+++ b/src/main/java/bramblespool/state/ReplicatedEntry.java
@@ -1,8 +1,8 @@
 package bramblespool.state;
 
 /**
- * An entry of the replicated log that changes the {@link ReplicatedState}. {@link ReplicatedEntryCodec} has its stored form.
- * The consensus layer proposes entries of its own besides, of which only {@link VotersChanged} counts here.
+ * An entry of the replicated log that changes the {@link ReplicatedState}. {@link ReplicatedEntryCodec} has its stored
+ * form. The consensus layer proposes entries of its own besides, of which only {@link VotersChanged} counts here.
  */
 public sealed interface ReplicatedEntry {
     /**
--- a/src/main/java/bramblespool/state/ReplicatedEntryCodec.java
+++ b/src/main/java/bramblespool/state/ReplicatedEntryCodec.java
@@ -18,8 +18,9 @@
 import java.util.List;
 
 /**
- * The stored form of log entries: JSON, as it stands on the disks of running systems and in messages between controllers of
- * different versions. The names and the order of the fields must not change. Stateless, and so safe on any thread.
+ * The stored form of log entries: JSON, as it stands on the disks of running systems and in messages between
+ * controllers of different versions. The names and the order of the fields must not change. Stateless, and so safe on
+ * any thread.
  */
 public final class ReplicatedEntryCodec {
     private static final String KIND = "k";
@@ -53,7 +54,8 @@
     }
 
     /**
-     * Reads the text of a committed entry. Missing fields have the values that the JSON library gives them: 0, false, "".
+     * Reads the text of a committed entry. Missing fields have the values that the JSON library gives them: 0, false,
+     * "".
      *
      * @throws IllegalStateException where the text is not JSON: a committed entry can be neither skipped nor mended
      */
--- a/src/main/java/bramblespool/state/ReplicatedState.java
+++ b/src/main/java/bramblespool/state/ReplicatedState.java
@@ -13,20 +13,23 @@
 import java.util.Map;
 
 /**
- * What the controllers have agreed on: the configurations and how far the commit of the newest has come, evacuated zones,
- * owners of singleton roles, voters. The same entries lead every controller to the same state, whatever it is made of:
- * nothing here depends on time, on chance or on the machine. Confined to the event loop.
+ * What the controllers have agreed on: the configurations and how far the commit of the newest has come, evacuated
+ * zones, owners of singleton roles, voters. The same entries lead every controller to the same state, whatever it is
+ * made of: nothing here depends on time, on chance or on the machine. Confined to the event loop.
  */
 public final class ReplicatedState {
-    /** Digests of committed requests that are kept, so that a repeated one is known: more than the changes of a long day. */
+    /**
+     * Digests of committed requests that are kept, so that a repeated one is known: more than the changes of a long
+     * day.
+     */
     private static final int MAX_COMMITTED_DIGESTS = 4096;
 
     /** So many characters of a digest tell it from the others. */
     private static final int SHORT_DIGEST_CHARS = 32;
 
     /**
-     * How far the commit of the current version has come, as the phases of "Shadow Configuration as a Network Management
-     * Primitive" are replicated: a new leader goes on from here. The names are stored.
+     * How far the commit of the current version has come, as the phases of "Shadow Configuration as a Network
+     * Management Primitive" are replicated: a new leader goes on from here. The names are stored.
      */
     public enum Phase {
         /** Nothing was ever committed. */
@@ -135,8 +138,8 @@
     }
 
     /**
-     * Applies a committed entry. An entry that doesn't fit the state, such as the decision of a candidate given up before,
-     * changes nothing.
+     * Applies a committed entry. An entry that doesn't fit the state, such as the decision of a candidate given up
+     * before, changes nothing.
      *
      * @param index the entry's index in the log, one above that of the entry before
      */
--- a/src/main/java/bramblespool/state/ReplicatedStateSnapshot.java
+++ b/src/main/java/bramblespool/state/ReplicatedStateSnapshot.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * The whole of a {@link ReplicatedState} at a moment. The maps are views of the state's own: to be encoded before the next
- * entry is applied. {@link ReplicatedStateSnapshotCodec} has the stored form.
+ * The whole of a {@link ReplicatedState} at a moment. The maps are views of the state's own: to be encoded before the
+ * next entry is applied. {@link ReplicatedStateSnapshotCodec} has the stored form.
  */
 public record ReplicatedStateSnapshot(
         Configurations configurations,
--- a/src/main/java/bramblespool/state/ReplicatedStateSnapshotCodec.java
+++ b/src/main/java/bramblespool/state/ReplicatedStateSnapshotCodec.java
@@ -16,9 +16,9 @@
 import java.util.function.Function;
 
 /**
- * The stored form of snapshots: JSON, as it stands on the disks of running systems and in messages between controllers of
- * different versions. The names and the order of the fields must not change: controllers compare digests of the text.
- * Stateless, and so safe on any thread.
+ * The stored form of snapshots: JSON, as it stands on the disks of running systems and in messages between controllers
+ * of different versions. The names and the order of the fields must not change: controllers compare digests of the
+ * text. Stateless, and so safe on any thread.
  */
 public final class ReplicatedStateSnapshotCodec {
     private static final String CURRENT = "current";
@@ -60,20 +60,22 @@
         ObjectNode digests = json.putObject(COMMITTED_DIGESTS);
         configurations.committedDigests().forEach(digests::put);
         ObjectNode evacuations = json.putObject(EVACUATIONS);
-        snapshot.evacuations().forEach((zone, evacuation) -> evacuations
-                .putObject(zone)
-                .put(IS_EVACUATED, evacuation.isEvacuated())
-                .put(INDEX, evacuation.index()));
+        snapshot.evacuations()
+                .forEach((zone, evacuation) -> evacuations
+                        .putObject(zone)
+                        .put(IS_EVACUATED, evacuation.isEvacuated())
+                        .put(INDEX, evacuation.index()));
         ObjectNode voterSinceIndexes = json.putObject(VOTER_SINCE_INDEXES);
         snapshot.voters().sinceIndexes().forEach(voterSinceIndexes::put);
         json.put(VOTERS_CHANGED_INDEX, snapshot.voters().changedIndex());
         ReplicatedEntryCodec.writeVoterSet(
                 json.putArray(VOTER_SET), snapshot.voters().voterSet());
         ObjectNode roles = json.putObject(SINGLETON_ROLES);
-        snapshot.singletonRoles().forEach((key, role) -> roles.putObject(key)
-                .put(OWNER, role.owner())
-                .put(FENCING_TOKEN, role.fencingToken())
-                .put(IS_FIRST_OWNER, role.isFirstOwner()));
+        snapshot.singletonRoles()
+                .forEach((key, role) -> roles.putObject(key)
+                        .put(OWNER, role.owner())
+                        .put(FENCING_TOKEN, role.fencingToken())
+                        .put(IS_FIRST_OWNER, role.isFirstOwner()));
         return json.toString();
     }
 
@@ -126,7 +128,8 @@
         VoterSet voterSet = json.has(VOTER_SET)
                 ? ReplicatedEntryCodec.readVoterSet(json.path(VOTER_SET))
                 : VoterSet.decode(sinceIndexes.keySet());
-        return new Voters(voterSet, sinceIndexes, json.path(VOTERS_CHANGED_INDEX).asLong());
+        return new Voters(
+                voterSet, sinceIndexes, json.path(VOTERS_CHANGED_INDEX).asLong());
     }
 
     private static Evacuation readEvacuation(JsonNode json) {
--- a/src/main/java/bramblespool/state/RoutingConfiguration.java
+++ b/src/main/java/bramblespool/state/RoutingConfiguration.java
@@ -213,8 +213,8 @@
     }
 
     /**
-     * The whole document that an amendment makes of this one: items added, replaced and removed by name, fields unknown to
-     * this program kept.
+     * The whole document that an amendment makes of this one: items added, replaced and removed by name, fields
+     * unknown to this program kept.
      *
      * @throws InvalidConfigurationException with the amendment's faults
      */
--- a/src/main/java/bramblespool/state/RoutingConfigurationParser.java
+++ b/src/main/java/bramblespool/state/RoutingConfigurationParser.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Reads the operator's configuration document. All faults are found before any is reported, in the order of the document's
- * tables: services, routes, limits, tenants. Fields that this program doesn't know are ignored.
+ * Reads the operator's configuration document. All faults are found before any is reported, in the order of the
+ * document's tables: services, routes, limits, tenants. Fields that this program doesn't know are ignored.
  */
 public final class RoutingConfigurationParser {
     static final String EPOCH = "epoch";
--- a/src/main/java/bramblespool/state/RoutingConfigurationValidator.java
+++ b/src/main/java/bramblespool/state/RoutingConfigurationValidator.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 
 /**
- * The rules that a routing configuration must keep beyond the types of its fields. Services, routes and tenants are given
- * in the order of the document, services first; each fault is added through the reader of the row that it is found in.
+ * The rules that a routing configuration must keep beyond the types of its fields. Services, routes and tenants are
+ * given in the order of the document, services first; each fault is added through the reader of the row that it is
+ * found in.
  */
 final class RoutingConfigurationValidator {
     private static final char LAST_PRINTABLE_ASCII = '~';
--- a/src/main/java/bramblespool/state/Settings.java
+++ b/src/main/java/bramblespool/state/Settings.java
@@ -106,8 +106,8 @@
     public record UsageReporting(double callsPerSecond, long leaseMs, long reportWindowMs, long usageLateMs) {}
 
     /**
-     * The figures of the rules that are in force at a site, as RULES-bramblespool.md uses them. A tolerance adds to a time,
-     * an excess is a factor on a rate, an allowance is a number of requests on top.
+     * The figures of the rules that are in force at a site, as RULES-bramblespool.md uses them. A tolerance adds to a
+     * time, an excess is a factor on a rate, an allowance is a number of requests on top.
      *
      * @param quietPeriodMs time without trouble after which a machine counts as in touch again
      * @param acknowledgementMs time for an operator's request to be acknowledged
@@ -123,7 +123,8 @@
      * @param retryAllowance retries allowed besides
      * @param slowStartExcess factor on the rate of a server in slow start
      * @param slowStartAllowance requests a second allowed besides
-     * @param evacuationMs time for requests to cease after a zone's evacuation is acknowledged, 0 where no rule sets one
+     * @param evacuationMs time for requests to cease after a zone's evacuation is acknowledged, 0 where no rule sets
+     * one
      * @param recoveryMs time for service to be back after a loss of machines
      * @param idempotencyKeyWindowMs how long two attempts with one idempotency key must not both be executed
      * @param rateLimitWindowMs window over which a tenant's requests are counted
--- a/src/main/java/bramblespool/state/SettingsParser.java
+++ b/src/main/java/bramblespool/state/SettingsParser.java
@@ -17,7 +17,6 @@
 
 /** Reads a settings file, a TOML document, and checks it whole. Fields that this program doesn't know are ignored. */
 public final class SettingsParser {
-    private static final String IP = "ip";
     private static final String PORT_RANGE = "portRange";
     private static final String SEED_PEERS = "seedPeers";
     private static final String PLATFORM = "platform";
@@ -35,12 +34,43 @@
     private static final long DEFAULT_KEY_WINDOW_MS = 60_000;
     private static final long DEFAULT_RATE_LIMIT_WINDOW_MS = 5000;
 
-    private final JsonObject json;
     private final DocumentReader reader;
+    private final PortRange ports;
+    private final List<String> seedPeers;
+    private final String machineClass;
+    private final boolean isSidecar;
+    private final boolean isEdge;
+    private final DocumentReader listeners;
+    private final DocumentReader limits;
+    private final DocumentReader bounds;
+    private final Discovery discovery;
+    private final DocumentReader platform;
+    private final UsageReporting usageReporting;
+    private final String ip;
+    private final String inboundAddress;
+    private final String outboundAddress;
 
+    /** Lowest and highest port, 0 where the file names none. */
+    private record PortRange(int first, int last) {}
+
+    /** Reads what other fields depend on, and in the order in which faults are reported. */
     private SettingsParser(JsonObject json, List<String> faults) {
-        this.json = json;
-        this.reader = new DocumentReader(json, "", faults);
+        reader = new DocumentReader(json, "", faults);
+        ports = readPortRange(json);
+        seedPeers = readSeedPeers();
+        machineClass = reader.string("machineClass");
+        isSidecar = Settings.SIDECAR_MACHINE.equals(machineClass);
+        isEdge = Settings.EDGE_MACHINE.equals(machineClass);
+        listeners = reader.section("listeners");
+        limits = reader.section("limits");
+        bounds = reader.section("bounds");
+        discovery = reader.enumValue("discovery", Discovery.STATIC);
+        reader.enumValue("entry", ClientEntry.STATIC);
+        platform = readPlatformSection();
+        usageReporting = readUsageReporting();
+        ip = reader.string("ip");
+        inboundAddress = readInboundAddress();
+        outboundAddress = readOutboundAddress();
     }
 
     /**
@@ -81,33 +111,8 @@
         return settings;
     }
 
-    /** Lowest and highest port, 0 where the file names none. */
-    private record PortRange(int first, int last) {}
-
     private Settings readSettings() {
-        PortRange ports = readPortRange();
-        List<String> seedPeers = readSeedPeers();
-        String machineClass = reader.string("machineClass");
-        boolean isSidecar = Settings.SIDECAR_MACHINE.equals(machineClass);
-        boolean isEdge = Settings.EDGE_MACHINE.equals(machineClass);
         boolean isProxy = isSidecar || isEdge;
-        // A field with this default is required on a sidecar, and empty elsewhere where it is left out.
-        String sidecarDefault = isSidecar ? null : "";
-        DocumentReader listeners = reader.section("listeners");
-        DocumentReader limits = reader.section("limits");
-        DocumentReader bounds = reader.section("bounds");
-        Discovery discovery = reader.enumValue("discovery", Discovery.STATIC);
-        reader.enumValue("entry", ClientEntry.STATIC);
-        DocumentReader platform = readPlatformSection(discovery);
-        UsageReporting usageReporting = readUsageReporting(platform, bounds);
-        String ip = reader.string(IP);
-        if (isEdge && ports.last <= ports.first) {
-            reader.addFault(PORT_RANGE, "must leave two ports on an edge machine");
-        }
-        // Gateways call each other on the port after the one for messages between processes.
-        String inboundAddress = isEdge ? ip + ":" + (ports.first + 1) : listeners.address("inbound", sidecarDefault);
-        String outboundAddress =
-                isEdge ? listeners.address("front", null) : listeners.address("outbound", sidecarDefault);
         return new Settings(
                 reader.string("node"),
                 reader.string("role", ""),
@@ -122,8 +127,8 @@
                 reader.booleanValue("voting", false),
                 reader.string("dataDir", isProxy ? "" : null),
                 reader.durationMs("beat", "1500ms"),
-                reader.address("appAddr", sidecarDefault),
-                reader.string("target", sidecarDefault),
+                reader.address("appAddr", sidecarDefault()),
+                reader.string("target", sidecarDefault()),
                 reader.stringMap("zones"),
                 inboundAddress,
                 outboundAddress,
@@ -139,33 +144,53 @@
                 limits.wholeNumber("maxFds", 0L),
                 limits.wholeNumber("diskMb", 0L),
                 readTolerableLosses(),
-                readBounds(bounds),
+                readBounds(),
                 usageReporting);
     }
 
-    private PortRange readPortRange() {
-        PortRange ports = new PortRange(0, 0);
-        if (json.get(PORT_RANGE) instanceof JsonArray range && range.size() == 2) {
-            ports = new PortRange(range.get(0).getAsInt(), range.get(1).getAsInt());
+    /** Default of a field that is required on a sidecar, and empty elsewhere where it is left out. */
+    private String sidecarDefault() {
+        return isSidecar ? null : "";
+    }
+
+    /** Gateways call each other on the port after the one for messages between processes. */
+    private String readInboundAddress() {
+        if (!isEdge) {
+            return listeners.address("inbound", sidecarDefault());
+        }
+        if (ports.last <= ports.first) {
+            reader.addFault(PORT_RANGE, "must leave two ports on an edge machine");
+        }
+        return ip + ":" + (ports.first + 1);
+    }
+
+    private String readOutboundAddress() {
+        return isEdge ? listeners.address("front", null) : listeners.address("outbound", sidecarDefault());
+    }
+
+    private PortRange readPortRange(JsonObject json) {
+        PortRange range = new PortRange(0, 0);
+        if (json.get(PORT_RANGE) instanceof JsonArray values && values.size() == 2) {
+            range = new PortRange(values.get(0).getAsInt(), values.get(1).getAsInt());
         }
-        if (ports.first <= 0 || ports.last < ports.first || ports.last > HIGHEST_PORT) {
+        if (range.first <= 0 || range.last < range.first || range.last > HIGHEST_PORT) {
             reader.addFault(PORT_RANGE, "must be two ports, the lower first");
         }
-        return ports;
+        return range;
     }
 
     private List<String> readSeedPeers() {
-        List<String> seedPeers = reader.strings(SEED_PEERS);
-        for (String seedPeer : seedPeers) {
+        List<String> peers = reader.strings(SEED_PEERS);
+        for (String seedPeer : peers) {
             if (!DocumentReader.isAddress(seedPeer)) {
                 reader.addFault(SEED_PEERS, "holds '" + seedPeer + "', which is no address");
             }
         }
-        return seedPeers;
+        return peers;
     }
 
     /** The platform's section; one without faults, and empty, where there is none and it is not needed. */
-    private DocumentReader readPlatformSection(Discovery discovery) {
+    private DocumentReader readPlatformSection() {
         if (discovery == Discovery.PLATFORM || reader.has(PLATFORM)) {
             return reader.section(PLATFORM);
         }
@@ -179,7 +204,7 @@
         return (int) reader.section(TOLERABLE_LOSSES).wholeNumber("machines", 1L);
     }
 
-    private static Bounds readBounds(DocumentReader bounds) {
+    private Bounds readBounds() {
         return new Bounds(
                 readTime(bounds, "quiet", SHORTEST_TIME_MS),
                 readTime(bounds, "ack", SHORTEST_TIME_MS),
@@ -204,10 +229,10 @@
     }
 
     /**
-     * The usage reporting asked for, or null where the platform doesn't list that role. Other roles that it lists are not
-     * this program's. A role without all the figures that it needs is a fault.
+     * The usage reporting asked for, or null where the platform doesn't list that role. Other roles that it lists are
+     * not this program's. A role without all the figures that it needs is a fault.
      */
-    private static UsageReporting readUsageReporting(DocumentReader platform, DocumentReader bounds) {
+    private UsageReporting readUsageReporting() {
         if (!platform.strings("duties").contains(USAGE_REPORTING_ROLE)) {
             return null;
         }
--- a/src/main/java/bramblespool/state/SqliteDatabaseFiles.java
+++ b/src/main/java/bramblespool/state/SqliteDatabaseFiles.java
@@ -15,10 +15,11 @@
 import org.sqlite.SQLiteErrorCode;
 
 /**
- * The files of a {@link SqliteDurableStore}: opens and creates the database. It has its name only once it is complete and
- * synced; one that is damaged counts as a lost disk and is moved out of the way, never repaired.
+ * The files of a {@link SqliteDurableStore}: opens and creates the database. It has its name only once it is complete
+ * and synced; one that is damaged counts as a lost disk and is moved out of the way, never repaired.
  *
- * <p>Not thread-safe: the store uses it on the thread that opens it, and from its first write on on the disk thread alone.
+ * <p>Not thread-safe: the store uses it on the thread that opens it, and from its first write on on the disk thread
+ * alone.
  */
 final class SqliteDatabaseFiles {
     static final String DATABASE = "helm.db";
@@ -118,9 +119,9 @@
     }
 
     /**
-     * A killed process may have left writes that no sync has covered. They are read now, and sent to others: so they must
-     * last, and so must the name of the log, without which the database alone is an older one. The database itself is never
-     * ahead of its log: pages not yet synced there are still in the log.
+     * A killed process may have left writes that no sync has covered. They are read now, and sent to others: so they
+     * must last, and so must the name of the log, without which the database alone is an older one. The database
+     * itself is never ahead of its log: pages not yet synced there are still in the log.
      */
     private void syncWriteAheadLog() throws IOException {
         directory.createIfAbsent(DATABASE + WAL_SUFFIX);
@@ -164,7 +165,10 @@
         }
     }
 
-    /** From here on what a commit has returned for is on the disk: the log is synced before it, and before each checkpoint. */
+    /**
+     * From here on what a commit has returned for is on the disk: the log is synced before it, and before each
+     * checkpoint.
+     */
     private static void enableDurability(Statement statement) throws SQLException {
         statement.execute("PRAGMA journal_mode=WAL");
         statement.execute("PRAGMA synchronous=FULL");
@@ -172,7 +176,8 @@
     }
 
     /**
-     * Creates a database and opens it. A loss of power leaves all of it or nothing. May be called again after a failure.
+     * Creates a database and opens it. A loss of power leaves all of it or nothing. May be called again after a
+     * failure.
      *
      * @throws IllegalStateException where the database was found damaged meanwhile
      */
@@ -228,8 +233,8 @@
     }
 
     /**
-     * Removes files that stand for nothing. A log left beside a new database would be taken for its own, and one without a
-     * database is a lost disk: so each of the two removals must last before what follows.
+     * Removes files that stand for nothing. A log left beside a new database would be taken for its own, and one
+     * without a database is a lost disk: so each of the two removals must last before what follows.
      */
     private void removeLeftovers() throws IOException {
         removeFiles(COMPANION_SUFFIXES.stream()
--- a/src/main/java/bramblespool/state/SqliteDurableStore.java
+++ b/src/main/java/bramblespool/state/SqliteDurableStore.java
@@ -16,9 +16,10 @@
 /**
  * The durable store on SQLite. All that is waiting is written in one transaction, and synced once.
  *
- * <p>Threads: the constructor opens the database on the calling thread, which waits as long as the disk doesn't work. All
- * other public methods are confined to the event loop. From the first write on the database belongs to the disk thread,
- * which posts what came of a write to the event loop; the two share the queue of tasks and the volatile fields only.
+ * <p>Threads: the constructor opens the database on the calling thread, which waits as long as the disk doesn't work.
+ * All other public methods are confined to the event loop. From the first write on the database belongs to the disk
+ * thread, which posts what came of a write to the event loop; the two share the queue of tasks and the volatile fields
+ * only.
  */
 public final class SqliteDurableStore implements DurableStore, AutoCloseable {
     /** A failed write is tried again after this time: a full disk is not emptied any sooner by haste. */
--- a/src/main/java/bramblespool/state/SqliteTransaction.java
+++ b/src/main/java/bramblespool/state/SqliteTransaction.java
@@ -4,9 +4,9 @@
 import java.sql.Statement;
 
 /**
- * A transaction that is rolled back where it ends without a commit. It is begun and ended by SQL statements and not by the
- * driver's methods: after some errors, a full disk among them, SQLite has rolled back by itself, and the driver would take
- * the next writes for part of a transaction that no longer exists.
+ * A transaction that is rolled back where it ends without a commit. It is begun and ended by SQL statements and not by
+ * the driver's methods: after some errors, a full disk among them, SQLite has rolled back by itself, and the driver
+ * would take the next writes for part of a transaction that no longer exists.
  */
 final class SqliteTransaction implements AutoCloseable {
     private final Statement statement;
--- a/src/main/java/bramblespool/state/StoreSchema.java
+++ b/src/main/java/bramblespool/state/StoreSchema.java
@@ -12,10 +12,10 @@
 import org.sqlite.Function;
 
 /**
- * The database of a {@link SqliteDurableStore}: its mark and version, its tables, and the statements that read and write
- * them. Each row ends with a checksum over its other columns, so that a row that is torn, altered or moved is found out.
- * Databases of the first form had neither marks nor checksums ("unmarked"); they are upgraded where they are opened.
- * Stateless; the connections and statements given are used by the calling thread only.
+ * The database of a {@link SqliteDurableStore}: its mark and version, its tables, and the statements that read and
+ * write them. Each row ends with a checksum over its other columns, so that a row that is torn, altered or moved is
+ * found out. Databases of the first form had neither marks nor checksums ("unmarked"); they are upgraded where they
+ * are opened. Stateless; the connections and statements given are used by the calling thread only.
  */
 final class StoreSchema {
     /** SQLite's mark of whose a database is: "brsp". */
--- a/src/main/java/bramblespool/state/StrictJson.java
+++ b/src/main/java/bramblespool/state/StrictJson.java
@@ -15,8 +15,8 @@
 import java.util.List;
 
 /**
- * Reads documents that come from outside. What is not quite JSON is rejected: a lenient reader would use a document that
- * nobody has sent.
+ * Reads documents that come from outside. What is not quite JSON is rejected: a lenient reader would use a document
+ * that nobody has sent.
  */
 public final class StrictJson {
     private StrictJson() {}
--- a/src/main/java/bramblespool/state/SyncedDirectory.java
+++ b/src/main/java/bramblespool/state/SyncedDirectory.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * A directory on a disk. What a file holds outlasts a loss of power only from the file's sync on; names that are created,
- * moved or removed do so only from the directory's sync on. Tests replace it by one that loses power. Not thread-safe.
+ * A directory on a disk. What a file holds outlasts a loss of power only from the file's sync on; names that are
+ * created, moved or removed do so only from the directory's sync on. Tests replace it by one that loses power. Not
+ * thread-safe.
  */
 class SyncedDirectory {
     final Path path;
@@ -28,7 +29,9 @@
         return List.of(entries);
     }
 
-    /** Whether there is a file of this name; found by listing, for a directory that cannot be read is not an empty one. */
+    /**
+     * Whether there is a file of this name; found by listing, for a directory that cannot be read is not an empty one.
+     */
     boolean contains(String name) throws IOException {
         return names().contains(name);
     }
--- a/src/main/java/bramblespool/state/VoterSet.java
+++ b/src/main/java/bramblespool/state/VoterSet.java
@@ -8,9 +8,9 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The voters of a cluster. While they change there are two groups, those before the change and those after it, and only what
- * a majority of each agrees on counts (joint consensus: Raft dissertation, section 4.3). So a change needs no more members
- * alive than the groups before and after it do. Immutable, and so safe on any thread.
+ * The voters of a cluster. While they change there are two groups, those before the change and those after it, and
+ * only what a majority of each agrees on counts (joint consensus: Raft dissertation, section 4.3). So a change needs
+ * no more members alive than the groups before and after it do. Immutable, and so safe on any thread.
  */
 public final class VoterSet {
     /** Marks of the encoded form, which is stored and sent. */
