--- a/src/main/java/bramblespool/cli/Bramblespool.java
+++ b/src/main/java/bramblespool/cli/Bramblespool.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The program's entry point. A plain start of a role ({@code bramblespool sidecar}, settings from the environment) skips
- * the option parser and its classes, so that a process that was killed is back sooner.
+ * The program's entry point. A plain start of a role ({@code bramblespool sidecar}, settings from the environment)
+ * skips the option parser and its classes, so that a process that was killed is back sooner.
  */
 public final class Bramblespool {
     /** Subcommands' names up to 0.4.0 and their present ones; accepted for one more version, not shown in the help. */
@@ -16,8 +16,8 @@
     private Bramblespool() {}
 
     /**
-     * Runs a subcommand. Returns with the process still running where a role was started; otherwise ends the process with
-     * an exit code of {@link ProcessLauncher}.
+     * Runs a subcommand. Returns with the process still running where a role was started; otherwise ends the process
+     * with an exit code of {@link ProcessLauncher}.
      */
     public static void main(String[] args) {
         replaceFormerSubcommand(args);
--- a/src/main/java/bramblespool/cli/ProcessLauncher.java
+++ b/src/main/java/bramblespool/cli/ProcessLauncher.java
@@ -19,9 +19,9 @@
 import sun.misc.Signal;
 
 /**
- * Runs one role in this process: starts it on the event loop, reloads its settings on SIGHUP or when the file changes, and
- * shuts it down gracefully on SIGTERM. The main thread starts it; everything after that runs on the event loop, save the
- * shutdown hook, which waits for the event loop.
+ * Runs one role in this process: starts it on the event loop, reloads its settings on SIGHUP or when the file changes,
+ * and shuts it down gracefully on SIGTERM. The main thread starts it; everything after that runs on the event loop,
+ * save the shutdown hook, which waits for the event loop.
  */
 final class ProcessLauncher {
     /** The environment variable that names the settings file. */
@@ -52,8 +52,9 @@
     }
 
     /**
-     * Starts a role, a key of {@link #MACHINE_CLASSES}, and returns {@link #EXIT_OK} with the event loop running. Returns
-     * {@link #EXIT_INVALID} for unusable settings and ends the process with {@link #EXIT_FAILED} where the start fails.
+     * Starts a role, a key of {@link #MACHINE_CLASSES}, and returns {@link #EXIT_OK} with the event loop running.
+     * Returns {@link #EXIT_INVALID} for unusable settings and ends the process with {@link #EXIT_FAILED} where the
+     * start fails.
      */
     static int run(String role, Path settingsFile, EventLog.Level level) {
         Settings settings;
--- a/src/main/java/bramblespool/cli/StatusCommand.java
+++ b/src/main/java/bramblespool/cli/StatusCommand.java
@@ -21,8 +21,8 @@
 
 /**
  * Asks processes for their status and prints it. The answers' JSON names are those of the peer message {@code status},
- * which 0.4.0 understands too; the printed text uses the terms of docs/glossary.md. Runs on the main thread, the calls on
- * an event loop of its own.
+ * which 0.4.0 understands too; the printed text uses the terms of docs/glossary.md. Runs on the main thread, the calls
+ * on an event loop of its own.
  */
 @Command(
         name = "status",
@@ -95,8 +95,8 @@
     }
 
     /**
-     * One process's answer as text. Of the proxies that a controller knows, it gives totals and then those with an anomaly,
-     * or with {@code listsAll} every one.
+     * One process's answer as text. Of the proxies that a controller knows, it gives totals and then those with an
+     * anomaly, or with {@code listsAll} every one.
      */
     public static String format(String address, JsonNode status, boolean listsAll) {
         StringBuilder report = new StringBuilder(address)
@@ -183,7 +183,7 @@
             appendLine(
                     report,
                     "usage reports",
-                    "by " + usage.path("holder").asText("nobody") + " with fencing token "
+                    "by " + usage.path("holder").asText("no owner") + " with fencing token "
                             + usage.path("fence").asLong() + ", oldest window not reported "
                             + usage.path("oldest").asLong() + ", now in "
                             + usage.path("current").asLong());
--- a/src/main/java/bramblespool/coordination/controller/ControllerNode.java
+++ b/src/main/java/bramblespool/coordination/controller/ControllerNode.java
@@ -9,6 +9,7 @@
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.RegistryReader;
 import bramblespool.coordination.gossip.GossipKeys;
+import bramblespool.coordination.gossip.GossipPeers;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.hashing.RendezvousHash;
 import bramblespool.coordination.membership.EndpointDirectory;
@@ -139,12 +140,7 @@
         Settings.Bounds bounds = settings.bounds();
         this.callTimeoutMs = bounds.quietPeriodMs() / CALL_TIMEOUT_DIVISOR;
         this.gossip = new GossipStore(
-                clock,
-                transport,
-                callTimeoutMs,
-                bounds.drainMs() / GOSSIP_BATCH_DIVISOR,
-                true,
-                new GossipStore.GossipPeers() {
+                clock, transport, callTimeoutMs, bounds.drainMs() / GOSSIP_BATCH_DIVISOR, true, new GossipPeers() {
                     @Override
                     public List<String> pushTargets(GossipStore.Source source) {
                         // Whoever hears a thing first tells the other cells.
@@ -784,7 +780,7 @@
             callback.accept(null);
             return;
         }
-        if (gossip.serve(kind, request, callback)) {
+        if (gossip.handleRequest(kind, request, callback)) {
             return;
         }
         switch (kind) {
--- a/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
+++ b/src/main/java/bramblespool/coordination/dataplane/DataPlaneNode.java
@@ -8,6 +8,7 @@
 import bramblespool.coordination.configuration.TermGuard;
 import bramblespool.coordination.discovery.AssignedEndpoints;
 import bramblespool.coordination.gossip.GossipKeys;
+import bramblespool.coordination.gossip.GossipPeers;
 import bramblespool.coordination.gossip.GossipStore;
 import bramblespool.coordination.membership.ControllerSession;
 import bramblespool.coordination.membership.EndpointDirectory;
@@ -37,47 +38,54 @@
 import java.util.function.Consumer;
 
 /**
- * A data plane daemon's part in the control plane: its session, its news, its side of the shadow commit, its gates. A
- * weft has one gate, to the server on its machine; a hem those of the servers it is steward of.
+ * A proxy's part in the control plane: wires its gossip, its session with a controller, its role in the shadow commit
+ * and its server admissions, and answers peer messages. A sidecar has one admission, for the server on its machine; a
+ * gateway has those of the servers assigned to it. Confined to the event loop.
  */
 public final class DataPlaneNode implements PeerTransport.RequestHandler {
-    /** To how many near peers own news is passed on at once, besides the cell. */
+    /** Proxies of the own zone to which own updates are pushed, besides the controller. */
     private static final int GOSSIP_FANOUT = 2;
-    /** Once in so many rounds news is compared with anybody, not with a near peer. */
+    /** One in so many rounds of anti-entropy is with a peer of any zone, the others with one of the own zone. */
     private static final int CROSS_ZONE_RECONCILE_ROUNDS = 8;
-    /** How many tries at fetching a document fit into {@code apply}: it may be large and the link narrow. */
+    /** Attempts to fetch a document that fit into {@code apply}: it may be large and the link slow. */
     private static final int FETCH_ATTEMPTS = 3;
-    /** Ratio to {@code drain} of the time for which news heard is gathered before it is passed on. */
+    /** Received updates are collected for {@code drain} divided by this before they are forwarded. */
     private static final int GOSSIP_BATCH_DIVISOR = 100;
-    /** Ratios to {@code quiet}. */
+    /** The session's renewal interval is {@code quiet} divided by this. */
     private static final int RENEWAL_DIVISOR = 6;
-
+    /** The time-out of a peer call is {@code quiet} divided by this. */
     private static final int CALL_TIMEOUT_DIVISOR = 10;
-    /** For this part of its last time a daemon that is to end goes on taking work for its servers. */
+    /** Fraction of the shutdown time in which the proxy still admits requests to its servers. */
     private static final double SHUTDOWN_SERVING_SHARE = 0.6;
 
-    /** Answers kept for repeats take at most this part of the machine's memory. */
+    /** Stored responses of idempotency keys take at most the machine's memory divided by this. */
     private static final int RESPONSE_CACHE_DIVISOR = 24;
 
     private final Clock clock;
     private final PeerTransport transport;
     private final EventLog log;
     private Settings settings;
+    /** Entries known of other processes. */
     public final GossipStore gossip;
+    /** The endpoints to choose from. */
     public final EndpointDirectory endpointDirectory;
+    /** The versions of the routing configuration that are installed here. */
     public final ShadowCommitParticipant shadowCommit;
+    /** The admissions of this proxy's servers. */
     public final ServerAdmissions admissions = new ServerAdmissions();
-    /** A weft's one gate; null in a hem. */
+    /** A sidecar's one admission; null in a gateway. */
     public final ServerAdmission serverAdmission;
-    /** A hem's servers; null in a weft. */
+    /** A gateway's servers; null in a sidecar. */
     private final AssignedEndpoints assignedEndpoints;
-
+    /** This proxy's budget of retries. */
     public final RetryBudget retryBudget;
+    /** Asks controllers for rate-limit tokens and claims of idempotency keys. */
     public final AdmissionClient admissionClient;
+    /** The operations whose idempotency keys this proxy has claimed. */
     public final IdempotencyTable idempotencyTable;
-    /** What runs began at the gates here, by tenant; null where nobody wants to know. */
+    /** Requests executed at this proxy's servers, by tenant; null without usage reporting. */
     public final UsageCounter usageCounter;
-    /** This side and its life, as its claims name it. */
+    /** This proxy and its life, as its claims name it. */
     private final String claimOwner;
 
     private final ControllerSession controllerSession;
@@ -92,6 +100,7 @@
     private final Set<String> pendingPings = new LinkedHashSet<>();
     private long lastRenewalMs;
 
+    /** Creates the node; nothing is sent before {@link #start}. */
     public DataPlaneNode(Settings settings, Clock clock, PeerTransport transport, EventLog log) {
         this.settings = settings;
         this.clock = clock;
@@ -100,12 +109,7 @@
         Settings.Bounds bounds = settings.bounds();
         this.callTimeoutMs = bounds.quietPeriodMs() / CALL_TIMEOUT_DIVISOR;
         this.gossip = new GossipStore(
-                clock,
-                transport,
-                callTimeoutMs,
-                bounds.drainMs() / GOSSIP_BATCH_DIVISOR,
-                false,
-                new GossipStore.GossipPeers() {
+                clock, transport, callTimeoutMs, bounds.drainMs() / GOSSIP_BATCH_DIVISOR, false, new GossipPeers() {
                     @Override
                     public Set<String> pushTargets(GossipStore.Source source) {
                         return selectPushTargets(source);
@@ -185,6 +189,7 @@
         return memoryMb * (1 << 20) / RESPONSE_CACHE_DIVISOR;
     }
 
+    /** Publishes the own entry, opens the session and starts the timers. */
     public void start() {
         long renewalIntervalMs = settings.bounds().quietPeriodMs() / RENEWAL_DIVISOR;
         publishOwnEntry();
@@ -205,10 +210,12 @@
         clock.scheduleRepeatedly(renewalIntervalMs * 2, gossip::reconcile);
     }
 
+    /** Takes reloaded settings; parameters that were passed on at construction stay as they were. */
     public void updateSettings(Settings newSettings) {
         settings = newSettings;
     }
 
+    /** The answer to the readiness check: a confirmed configuration and a server that can be reached. */
     public boolean isReady() {
         return !hasLeft
                 && !isShuttingDown
@@ -224,15 +231,17 @@
         }
     }
 
+    /** Whether a session with a controller is open. */
     public boolean hasSession() {
         return controllerSession.isOpen();
     }
 
+    /** The peer address of the session's controller; null before the first. */
     public String controller() {
         return controllerSession.controller();
     }
 
-    // ---- news
+    // ---- gossip
 
     private void publishOwnEntry() {
         ObjectNode body = JsonNodeFactory.instance
@@ -262,8 +271,9 @@
     }
 
     /**
-     * A cell tells all its sides and the other cells, so with a session only what the cell may not have heard goes to
-     * it, and the own news to a few near peers besides. Without one, everything goes to a few near peers and a far one.
+     * A controller forwards updates to all proxies with a session and to the other controllers. So with a session, only
+     * updates that the controller may not have are pushed to it, and own updates to a few proxies of the own zone
+     * besides. Without a session, every update is pushed to a few proxies of the own zone and one of any zone.
      */
     private Set<String> selectPushTargets(GossipStore.Source source) {
         Set<String> targets = new LinkedHashSet<>();
@@ -287,7 +297,7 @@
         }
     }
 
-    /** Whom to compare news with, or ask: mostly near peers, for bytes between zones cost. */
+    /** Peers for anti-entropy: mostly of the own zone, because traffic between zones has a cost. */
     private List<String> selectPeers() {
         List<String> sameZone = endpointDirectory.peerAddresses(true);
         if (!sameZone.isEmpty() && clock.random() * CROSS_ZONE_RECONCILE_ROUNDS > 1) {
@@ -298,9 +308,9 @@
         return peers;
     }
 
-    // ---- retry slack
+    // ---- retry allowance
 
-    /** Asks for tries of a service's slack, for those to come. */
+    /** Leases retries of a service's allowance for later requests. */
     private void requestRetryLease(String service) {
         if (!hasSession()) {
             return;
@@ -312,8 +322,8 @@
                 callTimeoutMs,
                 response -> {
                     if (response != null) {
-                        // Counted from when it was asked for: the owner counts from no earlier.
-                        retryBudget.leased(
+                        // Counted from the request at the earliest, as the owner counts.
+                        retryBudget.addLease(
                                 service,
                                 response.path("tries").asInt(),
                                 clock.nowMs() + response.path("life").asLong() - callTimeoutMs);
@@ -327,7 +337,7 @@
         admissions.applyConfiguration(shadowCommit.realConfiguration());
     }
 
-    /** The number of the newest version that the news tells of. */
+    /** The number of the newest version known by gossip. */
     private long newestEpoch() {
         GossipStore.GossipEntry configurationEntry = gossip.get(GossipKeys.CONFIGURATION_KEY);
         return configurationEntry == null
@@ -335,7 +345,7 @@
                 : configurationEntry.body().path("epoch").asLong();
     }
 
-    /** Compares the version in force here with the one decided, as the news tells it, and acts on the difference. */
+    /** Compares the version in force here with the decided one known by gossip, and acts on the difference. */
     private void catchUp() {
         GossipStore.GossipEntry configurationEntry = gossip.get(GossipKeys.CONFIGURATION_KEY);
         if (configurationEntry == null) {
@@ -356,7 +366,7 @@
         boolean isSwapped =
                 isMarked || configurationEntry.body().path("phase").asText().equals("SWAPPED");
         if (!isSwapped && shadowCommit.realConfiguration() != null) {
-            // The commit is under way; should it not come by, the decided version is taken all the same.
+            // The commit is in progress; if its messages do not arrive, the decided version is fetched all the same.
             clock.schedule(settings.bounds().applyMs() / 4, () -> {
                 if (shadowCommit.epoch() < epoch) {
                     fetch(epoch, stamp, false);
@@ -380,9 +390,11 @@
         if (hasSession()) {
             sources.add(controller());
         }
-        // Other helms have it, where the own one does not; near sides may be as far behind as this one. Without a
-        // session the
-        // helms may all be gone, and each that is silent costs time, which one that has nothing to give does not.
+        // Other controllers have the document where this session's does not; proxies of the own zone may be as far
+        // behind
+        // as this one. Without a session all controllers may be down, and each silent one costs a time-out, while a
+        // proxy
+        // without the document answers at once.
         List<String> controllers = new ArrayList<>(EndpointDirectory.controllerAddresses(gossip, settings));
         controllers.removeAll(sources);
         Set<String> additional = new LinkedHashSet<>();
@@ -423,7 +435,7 @@
                                     "kind",
                                     "doc",
                                     "cause",
-                                    "another document");
+                                    "not the requested document");
                         } catch (InvalidConfigurationException e) {
                             log.logOnChange(
                                     Event.MESSAGE_DROPPED,
@@ -438,9 +450,9 @@
                 });
     }
 
-    /** What a call's mark tells about the weft it came from: one that still tags with an older version is told the news. */
-    public void onCallerTag(String callerNode, String versionTag) {
-        if (callerNode == null || !shadowCommit.isTagOfOlderVersion(versionTag) || shadowCommit.isTagging()) {
+    /** Takes the version mark of a received request: a caller that still tags with an older version gets an update. */
+    public void onVersionMark(String callerNode, String versionMark) {
+        if (callerNode == null || !shadowCommit.isTagOfOlderVersion(versionMark) || shadowCommit.isTagging()) {
             return;
         }
         EndpointDirectory.Proxy proxy = endpointDirectory.findProxy(callerNode);
@@ -450,7 +462,7 @@
         }
     }
 
-    /** A peer refused a call for its mark or route: one of the two may be behind. */
+    /** A peer rejected a request because of its version mark or route: one of the two may be behind. */
     public void onVersionMismatch() {
         if (controller() != null && !isFetching) {
             gossip.reconcileWith(controller());
@@ -459,7 +471,7 @@
 
     // ---- peers
 
-    /** Asks a peer that has been silent whether it is there. */
+    /** Checks a proxy that has not answered for some time; it is suspected where the ping fails. */
     public void ping(EndpointDirectory.Proxy proxy) {
         if (proxy.address == null || endpointDirectory.isSuspected(proxy) || !pendingPings.add(proxy.address)) {
             return;
@@ -476,7 +488,7 @@
 
     @Override
     public void handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
-        if (gossip.serve(kind, request, callback)) {
+        if (gossip.handleRequest(kind, request, callback)) {
             return;
         }
         switch (kind) {
@@ -496,14 +508,14 @@
         }
     }
 
-    // ---- operations
+    // ---- idempotency keys
 
-    /** Tells a side that found a claim of this one in the register what came of it. */
+    /** Answers a proxy that found a claim of this one in a register with the state of the operation. */
     private ObjectNode describeOperation(JsonNode request) {
         ObjectNode response = JsonNodeFactory.instance.objectNode();
         String claim = request.path("claim").asText();
         if (!claim.startsWith(claimOwner + " ")) {
-            // An earlier life's: what it did nobody can say.
+            // A claim of an earlier run of this process, whose outcome is unknown.
             return response.put("state", IdempotencyTable.State.UNKNOWN.name());
         }
         IdempotencyTable.Operation operation =
@@ -524,7 +536,10 @@
         return response;
     }
 
-    /** Asks the side that a claim names what came of it. Null: nobody there, or it is an earlier life of this one. */
+    /**
+     * Asks the proxy named by a claim for the outcome of the operation. The callback gets null where it did not answer,
+     * or where the claim is of an earlier run of this process.
+     */
     public void queryOperation(
             String register, String claim, long fingerprint, long timeoutMs, Consumer<JsonNode> callback) {
         String address = claim.substring(0, Math.max(0, claim.indexOf(' ')));
@@ -578,27 +593,28 @@
         return status;
     }
 
-    // ---- the server and the end
+    // ---- heartbeats and shutdown
 
+    /** Takes a heartbeat of a sidecar's server; returns null where it is acknowledged, else its fault. */
     public String onHeartbeat(Heartbeat heartbeat) {
         return serverAdmission.onHeartbeat(heartbeat);
     }
 
     /**
-     * To end soon: not ready from now on, so that no new clients come, but its servers are well and nobody else can
-     * reach them, so others may send to them until shortly before.
+     * Starts a graceful shutdown: not ready from now on, so that no new clients arrive, but other proxies may send
+     * requests to its healthy servers for some more time, because only this proxy can reach them.
      */
     public void shutDownGracefully(long timeoutMs) {
         isShuttingDown = true;
         clock.schedule((long) (timeoutMs * SHUTDOWN_SERVING_SHARE), this::leave);
     }
 
-    /** Whether it has told that it is gone: what is sent here all the same is refused. */
+    /** Whether this proxy has announced that it leaves; requests that still arrive are rejected. */
     public boolean hasLeft() {
         return hasLeft;
     }
 
-    /** Leaves: no more work comes here, and the session ends. */
+    /** Announces that this proxy leaves, and ends the session. */
     public void leave() {
         hasLeft = true;
         publishOwnEntry();
--- a/src/main/java/bramblespool/coordination/discovery/AssignedEndpoints.java
+++ b/src/main/java/bramblespool/coordination/discovery/AssignedEndpoints.java
@@ -14,11 +14,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The servers a hem is steward of, zone by zone as the readers of the platform's list assign them. */
+/**
+ * The servers assigned to a gateway, zone by zone, as the registry readers of the controllers assign them. Creates and
+ * removes their {@link ServerAdmission}s. Confined to the event loop.
+ */
 public final class AssignedEndpoints {
     /**
-     * What the reader of a zone's list last assigned; a reader's fence outranks the number within it. One that was
-     * started again may hold the same fence and count from the beginning: {@code reader} tells its lives apart.
+     * The version of the last assignment of a zone: the reader's fencing token is compared first, then its number. A
+     * reader that was restarted may have the same token and count from the beginning; {@code readerId} tells its runs
+     * apart.
      */
     private record AssignmentVersion(long fencingToken, long number, String readerId) {
         boolean isOlderThan(long otherToken, long otherNumber) {
@@ -36,6 +40,10 @@
     private boolean isApplying;
     private boolean hasChanged;
 
+    /**
+     * @param admissions where the assigned servers' admissions are added
+     * @param onChange runs after a change of what this gateway announces of its endpoints, once for each assignment
+     */
     public AssignedEndpoints(
             Clock clock,
             ServerAdmission.AdmissionSettings admissionSettings,
@@ -49,7 +57,7 @@
         this.log = log;
     }
 
-    /** Takes an assignment, or says which newer one stands. */
+    /** Applies an assignment; rejects one that is older than the present one, and answers with the present version. */
     public ObjectNode applyAssignment(JsonNode request) {
         if (request.has("leaving")) {
             return markDraining(request);
@@ -117,7 +125,7 @@
         return response.put("ok", true);
     }
 
-    /** Takes the word of whoever has read the list that servers are about to end: it needs no fence, for it is never taken back. */
+    /** Marks servers as draining. That needs no fencing token, because it is never undone. */
     private ObjectNode markDraining(JsonNode request) {
         Map<String, ServerAdmission> zoneAdmissions =
                 admissionsByZone.getOrDefault(request.path("zone").asText(), Map.of());
@@ -130,7 +138,7 @@
         return JsonNodeFactory.instance.objectNode().put("ok", true);
     }
 
-    /** Changes that come with one assignment are told once. */
+    /** Reports the changes of one assignment once. */
     private void onAdmissionChange() {
         if (isApplying) {
             hasChanged = true;
--- a/src/main/java/bramblespool/coordination/discovery/BalancedAssignment.java
+++ b/src/main/java/bramblespool/coordination/discovery/BalancedAssignment.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Spreads servers evenly over stewards, each service for itself and all together, moving no more than that takes. */
+/**
+ * Distributes servers evenly over gateways, each service by itself and all services together, with as few moves as
+ * possible. One instance holds the counts of one run.
+ */
 final class BalancedAssignment {
     private final Map<String, Integer> totalCounts = new HashMap<>();
     private final Map<String, Map<String, Integer>> countsByService = new HashMap<>();
@@ -20,7 +23,11 @@
         this.gateways = gateways;
     }
 
-    /** Completes and evens out an assignment of server ids to stewards. Servers about to leave stay where they are. */
+    /**
+     * Completes and balances an assignment in place. Draining servers are not moved.
+     *
+     * @param gatewayByServer server ids and the gateways they are assigned to
+     */
     static void balance(
             Collection<RegistryPage.RegisteredServer> servers,
             Collection<String> candidates,
@@ -75,7 +82,10 @@
         return totalCounts.getOrDefault(gateway, 0);
     }
 
-    /** Who has the fewest of the service, then the fewest of all, then is first in line for the server. */
+    /**
+     * The gateway with the fewest servers of the service, then of all services, then with the highest rendezvous
+     * weight.
+     */
     private String leastLoaded(RegistryPage.RegisteredServer server) {
         String best = null;
         for (String gateway : gateways) {
--- a/src/main/java/bramblespool/coordination/discovery/RegistryReader.java
+++ b/src/main/java/bramblespool/coordination/discovery/RegistryReader.java
@@ -22,29 +22,35 @@
 import java.util.function.Supplier;
 
 /**
- * The duty of reading one zone's list of servers and of assigning each to a steward. The wanted state is the list last
- * read whole and the hems that are members; what is, is what each hem last confirmed; each round acts on the
- * difference. A server leaves its old steward, or the old steward its session, before a new one has it.
+ * The singleton role that reads one zone's server list from the platform's registry and assigns each server to a
+ * gateway. The desired state follows from the last completely read list and the gateways that are members, the actual
+ * state is what each gateway last confirmed, and each round acts on the difference. A server is given to a new gateway
+ * only after the old one has confirmed its removal or lost its session. Confined to the event loop.
  */
 public final class RegistryReader {
-    /** A hem that may be steward; {@code holds}: the servers it itself says it has gates for in its present life. */
+    /**
+     * A gateway that servers may be assigned to.
+     *
+     * @param serverIds the servers that it announces in its present incarnation
+     */
     public record Gateway(String node, long incarnation, String peerAddress, String zone, Set<String> serverIds) {}
 
-    /** Pages after which a list without end is given up. */
+    /** Pages after which reading a list is given up as endless. */
     private static final int MAX_PAGES = 1000;
-    /** Most of a back-off, in reading periods. */
+    /** Limit of the backoff, in halves of the reading interval. */
     private static final int MAX_BACKOFF_STEPS = 4;
-    /** Reading periods for which the list is watched without the duty: well over the time in which somebody leads again. */
+    /** Reading intervals for which the list is read without the role: well above the time to elect a leader. */
     private static final int LEADERLESS_WATCH_PERIODS = 5;
 
     private static final class AssignmentState {
         private final long incarnation;
-        /** The number of the assignment last made for this hem, and of the one it last confirmed. */
+        /** The number of the assignment last made for this gateway; 0 before the first. */
         long assignedNumber;
-
+        /** The number of the assignment that it last confirmed. */
         long confirmedNumber;
+
         List<RegistryPage.RegisteredServer> servers = List.of();
-        /** What it may have a gate for: what it confirmed, and what was sent to it since. */
+        /** The servers it may have: what it confirmed, and what was sent to it since. */
         Set<String> possibleServers = new HashSet<>();
 
         boolean isInFlight;
@@ -56,7 +62,7 @@
     }
 
     private final String zone;
-    /** Tells the lives of one helm apart. */
+    /** Distinguishes the runs of one controller. */
     private final String readerId;
 
     private final Clock clock;
@@ -68,23 +74,28 @@
     private final EventLog log;
     private long fencingToken;
     private boolean isOwner;
-    /** Until when the list is read without the duty. */
+    /** Until when the list is read without the role. */
     private long watchUntilMs;
 
     private boolean isLeaderless;
-    /** The leaving servers that each hem has been told of without the duty. */
+    /** The draining servers that each gateway, by name and incarnation, has been informed of without the role. */
     private final Map<String, Set<String>> warnedServers = new HashMap<>();
 
     private long readGeneration;
     private long nextReadMs;
     private long backoffSteps;
-    /** Numbers assignments; never starts over within a life, for the duty may come back under the same fence. */
+    /** Numbers assignments; never reset within a run, because the role may return with the same fencing token. */
     private long lastAssignmentNumber;
 
     private Map<String, RegistryPage.RegisteredServer> registeredServers;
     private final Map<String, String> gatewayByServer = new HashMap<>();
     private final Map<String, AssignmentState> assignmentStates = new HashMap<>();
 
+    /**
+     * @param gateways the gateways that are members now
+     * @param readIntervalMs time between two reads of the list
+     * @param callTimeoutMs time-out of a call to a gateway
+     */
     public RegistryReader(
             String zone,
             Clock clock,
@@ -105,7 +116,7 @@
         this.log = log;
     }
 
-    /** Says whether this helm holds the duty now, and under which fence. A new hand starts from a full read. */
+    /** Sets whether this controller owns the role, and its fencing token. A new owner starts with a complete read. */
     public void setOwnership(boolean ownsRole, long roleToken) {
         if (ownsRole && (!isOwner || roleToken != fencingToken)) {
             fencingToken = roleToken;
@@ -121,8 +132,8 @@
     }
 
     /**
-     * Says whether nobody is known to lead. The bound on leaving servers runs all the same, so for a time the list is read
-     * without the duty, and what it shows as leaving is told to its stewards; nothing is assigned.
+     * Sets whether no leader is known. The time limit for draining servers applies all the same, so the list is read
+     * for some time without the role and gateways are informed of their draining servers; nothing is assigned.
      */
     public void setLeaderless(boolean hasNoLeader) {
         if (hasNoLeader && !isLeaderless) {
@@ -139,7 +150,7 @@
         return clock.nowMs() < watchUntilMs;
     }
 
-    /** One round. */
+    /** One round: reads the list when it is time, and assigns. To be called periodically. */
     public void check() {
         if (!isOwner && !isWatching()) {
             readGeneration++;
@@ -154,7 +165,7 @@
         }
     }
 
-    // ---- the list
+    // ---- reading the list
 
     private void readPage(
             long generation,
@@ -176,9 +187,9 @@
                 failRead(e.getMessage());
                 return;
             }
-            for (RegistryPage.RegisteredServer e : page.servers()) {
-                if (e.zone().equals(zone)) {
-                    collected.put(e.id(), e);
+            for (RegistryPage.RegisteredServer server : page.servers()) {
+                if (server.zone().equals(zone)) {
+                    collected.put(server.id(), server);
                 }
             }
             if (page.nextToken() == null) {
@@ -213,7 +224,7 @@
         assign();
     }
 
-    /** Tells the stewards of servers about to end, each once. */
+    /** Informs the gateways of their draining servers, of each once. */
     private void warnOfDraining(Collection<RegistryPage.RegisteredServer> servers) {
         Set<String> drainingIds = new HashSet<>();
         servers.forEach(server -> {
@@ -240,7 +251,7 @@
         }
     }
 
-    // ---- the assignment
+    // ---- assignment
 
     private void assign() {
         if (registeredServers == null) {
@@ -288,7 +299,7 @@
         }
     }
 
-    /** The members of the zone, or all where it has none. */
+    /** The gateways of the zone, or all where it has none. */
     private Set<String> candidates(Collection<Gateway> members) {
         Set<String> sameZone = new TreeSet<>();
         Set<String> all = new TreeSet<>();
@@ -301,7 +312,7 @@
         return sameZone.isEmpty() ? all : sameZone;
     }
 
-    /** Whether another live hem may still have a gate for this server. */
+    /** Whether another member may still have this server. */
     private boolean mayBeHeldElsewhere(String serverId, String assignee) {
         for (Map.Entry<String, AssignmentState> state : assignmentStates.entrySet()) {
             if (!state.getKey().equals(assignee)
@@ -320,7 +331,7 @@
         for (int i = 0; i < previous.size(); i++) {
             RegistryPage.RegisteredServer oldServer = previous.get(i);
             RegistryPage.RegisteredServer newServer = current.get(i);
-            // How long a server stays slow runs down by itself and is no change.
+            // The remaining warm-up time decreases by itself, which is no change.
             if (!oldServer.id().equals(newServer.id())
                     || oldServer.isDraining() != newServer.isDraining()
                     || oldServer.capacity() != newServer.capacity()
@@ -358,7 +369,8 @@
                 state.confirmedNumber = number;
                 state.possibleServers = serverIds;
             } else if (response.path("fence").asLong() == fencingToken) {
-                // This helm told it more in an earlier life, under the same fence: its numbers go on from there.
+                // This controller sent it more in an earlier run with the same fencing token: continue from its
+                // numbers.
                 lastAssignmentNumber =
                         Math.max(lastAssignmentNumber, response.path("n").asLong());
                 state.assignedNumber = ++lastAssignmentNumber;
--- a/src/main/java/bramblespool/coordination/gossip/GossipKeys.java
+++ b/src/main/java/bramblespool/coordination/gossip/GossipKeys.java
@@ -1,7 +1,7 @@
 package bramblespool.coordination.gossip;
 
 /**
- * Keys of the entries in the {@link GossipStore}. They are sent between daemons and so keep the strings of earlier
+ * Keys of the entries in the {@link GossipStore}. They are sent between processes and so keep the strings of earlier
  * versions. A prefix is followed by the name of what the entry describes.
  */
 public final class GossipKeys {
--- a/src/main/java/bramblespool/coordination/gossip/GossipStore.java
+++ b/src/main/java/bramblespool/coordination/gossip/GossipStore.java
@@ -11,7 +11,6 @@
 import java.util.Collection;
 import java.util.EnumMap;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -21,11 +20,21 @@
 import java.util.function.Consumer;
 
 /**
- * What every daemon knows of the others. Each item has one author, who orders its versions by (life, sequence);
- * the newest wins. A change is passed on at once, gathered with others that come close behind it; comparing digests
- * mends what was missed. The digest is a tree of two levels, so that a comparison costs what differs.
+ * The eventually consistent table of entries that every process has of the others. Each entry has one author, who
+ * orders its versions by (incarnation, sequence); the newest wins. An update is forwarded soon after it arrives,
+ * batched with others that arrive shortly after it; anti-entropy (comparison of digests) repairs what was lost. The
+ * digest is a hash tree of two levels, so that a comparison costs as much as there is difference.
+ *
+ * <p>Confined to the event loop.
  */
 public final class GossipStore {
+    /**
+     * A version of an entry.
+     *
+     * @param incarnation raised by the author above each run of its process that others remember; compared first
+     * @param sequence raised by the author with each update within an incarnation
+     * @param body the content; null where only the version matters
+     */
     public record GossipEntry(String key, long incarnation, long sequence, JsonNode body) {
         boolean isNewerThan(GossipEntry other) {
             return other == null
@@ -44,45 +53,39 @@
         }
     }
 
-    /** Whom an item came from. */
+    /** Where an update came from. */
     public enum Source {
+        /** Published by this process. */
         LOCAL,
+        /** Received from a sidecar or gateway. */
         PROXY,
+        /** Received from a controller. */
         CONTROLLER
     }
 
-    /** Whom a daemon tells of what it has just learned, and with whom it compares what it knows. */
-    public interface GossipPeers {
-        Collection<String> pushTargets(Source source);
-
-        List<String> reconciliationPeers();
-
-        /** Whether this daemon is a helm that lately heard from who leads: then its news is of late too. */
-        default boolean hasRecentLeaderContact() {
-            return false;
-        }
-    }
-
-    /** What came of a comparison. */
+    /** Outcome of a comparison of digests. */
     public enum ReconciliationResult {
-        /** Nobody answered, or not to the end. */
+        /** The peer did not answer, or not to the end. */
         NO_ANSWER,
-        /** Nothing is lacking here that the other knows, but the other may be behind. */
+        /** This process has everything that the peer has, but the peer may be behind. */
         RECONCILED,
-        /** Nothing is lacking here that a helm in touch knows. */
+        /** This process has everything that a controller in recent contact with the leader has. */
         CURRENT
     }
 
-    /** The kind of message that compares what two daemons know. */
+    /** Kind of the peer message that compares digests. */
     public static final String DIGEST = "digest";
 
-    /** What one other daemon is still to be told. */
+    /** Kind of the peer message that carries entries; the name is that of 0.4.0. */
+    private static final String UPDATES = "news";
+
+    /** Updates that are still to be sent to one peer: the newest version of each entry. */
     private static final class Outbox {
         final Map<String, GossipEntry> pending = new LinkedHashMap<>();
         boolean isInFlight;
     }
 
-    /** Leaves of the digest: with some hundreds of items few stand in one. */
+    /** Leaves of the hash tree: with some hundreds of entries each holds few. */
     private static final int DIGEST_BUCKETS = 32;
 
     private final Clock clock;
@@ -102,7 +105,10 @@
     private long rootHash;
     private Runnable onIncarnationRaised = () -> {};
 
-    /** {@code gatherMs}: how long changes heard of are gathered before they are passed on; {@code cell}: in a helm. */
+    /**
+     * @param batchDelayMs how long received updates are collected before they are forwarded
+     * @param isController whether this process is a controller
+     */
     public GossipStore(
             Clock clock,
             PeerTransport transport,
@@ -118,21 +124,28 @@
         this.peers = peers;
     }
 
-    /** Says which item this daemon itself authors, and what to do when an earlier life of it is heard of. */
+    /**
+     * Sets the key of the entry that this process authors.
+     *
+     * @param onIncarnationRaised runs when an earlier incarnation of this process was found in an update, so that the
+     *     entry has to be published again
+     */
     public void registerOwnKey(String key, Runnable onIncarnationRaised) {
         this.ownKey = key;
         this.onIncarnationRaised = onIncarnationRaised;
     }
 
+    /** Adds a listener that is called with each new version of an entry, this process's own updates included. */
     public void addListener(Consumer<GossipEntry> listener) {
         listeners.add(listener);
     }
 
+    /** This process's incarnation, at least 1. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** Somebody remembers a life of this daemon that came after the present one: an earlier process had it. */
+    /** Raises the incarnation above one that a peer remembers: an earlier process under this name had it. */
     public void raiseIncarnation(long knownIncarnation) {
         if (knownIncarnation > incarnation) {
             incarnation = knownIncarnation + 1;
@@ -140,25 +153,27 @@
         }
     }
 
+    /** The newest known version, or null. */
     public GossipEntry get(String key) {
         return entries.get(key);
     }
 
-    /** The items whose keys begin so. */
+    /** A live view of the entries whose keys have the prefix, ordered by key. */
     public Collection<GossipEntry> entriesWithPrefix(String prefix) {
         return entries.subMap(prefix, prefix + Character.MAX_VALUE).values();
     }
 
+    /** The digest of all entries, in hexadecimal; equal digests mean equal contents. */
     public String rootHash() {
         return Long.toHexString(rootHash);
     }
 
-    /** Publishes this daemon's own item. */
+    /** Publishes a new version of this process's own entry. */
     public void publish(ObjectNode body) {
         apply(new GossipEntry(ownKey, incarnation, ++sequence, body), Source.LOCAL);
     }
 
-    /** Publishes an item whose order is given from outside, such as the agreed log's. */
+    /** Publishes an entry whose version is determined elsewhere, such as by its position in the replicated log. */
     public void publish(String key, long entryIncarnation, long entrySequence, ObjectNode body) {
         apply(new GossipEntry(key, entryIncarnation, entrySequence, body), Source.LOCAL);
     }
@@ -186,24 +201,19 @@
         List<GossipEntry> updates = List.copyOf(unsentBySource.get(source).values());
         unsentBySource.get(source).clear();
         Set<String> targets = new LinkedHashSet<>(peers.pushTargets(source));
-        if (targets.isEmpty()) {
-            return;
-        }
-        for (String address : targets) {
-            send(address, updates);
-        }
+        targets.forEach(address -> send(address, updates));
     }
 
-    /** Tells one daemon of these items, whoever else it may hear them from. */
+    /** Sends these entries to one peer, whether or not others send them too. */
     public void send(String address, Collection<GossipEntry> updates) {
         Outbox outbox = outboxes.computeIfAbsent(address, t -> new Outbox());
-        updates.forEach(i -> outbox.pending.put(i.key, i));
+        updates.forEach(entry -> outbox.pending.put(entry.key, entry));
         flush(address, outbox);
     }
 
     /**
-     * One message is under way to each daemon; what comes meanwhile waits and goes as one, the newest of each item. So
-     * whoever is slow gets fewer messages with more in each, and nothing piles up on the way to it.
+     * At most one message is in flight to each peer; updates that arrive meanwhile are sent as one batch afterwards,
+     * the newest version of each entry. A slow peer gets fewer and larger messages, and no backlog builds up.
      */
     private void flush(String address, Outbox outbox) {
         if (outbox.isInFlight) {
@@ -217,7 +227,7 @@
         writeEntries(message, outbox.pending.values());
         outbox.pending.clear();
         outbox.isInFlight = true;
-        transport.call(address, "news", message, callTimeoutMs, answer -> {
+        transport.call(address, UPDATES, message, callTimeoutMs, answer -> {
             outbox.isInFlight = false;
             flush(address, outbox);
         });
@@ -227,7 +237,7 @@
         return JsonNodeFactory.instance.objectNode().put("cell", isController);
     }
 
-    /** One round of mending with somebody chosen by chance. */
+    /** One round of anti-entropy with a peer drawn at random. */
     public void reconcile() {
         List<String> candidates = peers.reconciliationPeers();
         if (!candidates.isEmpty()) {
@@ -235,17 +245,17 @@
         }
     }
 
-    /** Compares digests with one daemon and exchanges what either lacks. */
+    /** Compares digests with one peer and exchanges the entries that either lacks. */
     public void reconcileWith(String address) {
-        reconcileWith(address, x -> {});
+        reconcileWith(address, result -> {});
     }
 
-    /** Compares, and says what came of it once what was lacking has been taken. */
+    /** Compares digests; the callback runs exactly once, after the missing entries have been merged. */
     public void reconcileWith(String address, Consumer<ReconciliationResult> callback) {
         ObjectNode request = newMessage().put("hash", rootHash());
         ArrayNode hashes = request.putArray("branches");
-        for (long h : bucketHashes) {
-            hashes.add(shortHash(h));
+        for (long bucketHash : bucketHashes) {
+            hashes.add(shortHash(bucketHash));
         }
         transport.call(address, DIGEST, request, callTimeoutMs, response -> {
             if (response == null) {
@@ -272,16 +282,13 @@
             ObjectNode reply = newMessage();
             writeEntries(reply, toSend);
             ArrayNode wanted = reply.putArray("want");
-            for (Iterator<Map.Entry<String, JsonNode>> remoteEntries = remoteDigest.fields();
-                    remoteEntries.hasNext(); ) {
-                Map.Entry<String, JsonNode> remoteEntry = remoteEntries.next();
-                if (versionOnly(remoteEntry.getKey(), remoteEntry.getValue())
-                        .isNewerThan(entries.get(remoteEntry.getKey()))) {
-                    wanted.add(remoteEntry.getKey());
+            remoteDigest.fields().forEachRemaining(remote -> {
+                if (versionOnly(remote.getKey(), remote.getValue()).isNewerThan(entries.get(remote.getKey()))) {
+                    wanted.add(remote.getKey());
                 }
-            }
+            });
             if (!toSend.isEmpty() || !wanted.isEmpty()) {
-                transport.call(address, "news", reply, callTimeoutMs, returned -> {
+                transport.call(address, UPDATES, reply, callTimeoutMs, returned -> {
                     if (returned != null) {
                         merge(returned);
                     }
@@ -312,6 +319,10 @@
         }
     }
 
+    /**
+     * Applies the entries of a message. An entry about this process from an earlier incarnation raises the incarnation
+     * and is otherwise ignored.
+     */
     public void merge(JsonNode message) {
         Source source = message.path("cell").asBoolean() ? Source.CONTROLLER : Source.PROXY;
         for (JsonNode node : message.path("items")) {
@@ -336,8 +347,11 @@
         }
     }
 
-    public boolean serve(String kind, JsonNode request, Consumer<ObjectNode> callback) {
-        if (kind.equals("news")) {
+    /**
+     * Answers a peer message of gossip; returns false, without a call of the callback, where the kind is not of gossip.
+     */
+    public boolean handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
+        if (kind.equals(UPDATES)) {
             merge(request);
             ObjectNode response = newMessage();
             List<GossipEntry> wanted = new ArrayList<>();
--- a/src/main/java/bramblespool/coordination/membership/ControllerSession.java
+++ b/src/main/java/bramblespool/coordination/membership/ControllerSession.java
@@ -21,15 +21,19 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** A side's session with one helm, by which it is a member: with the one of its zone, or with another while that is silent. */
+/**
+ * A proxy's session with one controller, which makes it a member: with the controller of its own zone, or with another
+ * one while that does not answer. Also carries usage counts to the controller and the cluster's time back. Confined to
+ * the event loop.
+ */
 public final class ControllerSession {
-    /** Renewals without an answer before the side turns to another helm. */
+    /** Consecutive renewals without an answer after which another controller is selected. */
     private static final int MAX_MISSED_RENEWALS = 2;
-    /** How much sooner than at the next renewal a side without a session tries again, at first and in the end. */
+    /** First delay of the backoff without a session, as a divisor of the renewal interval. */
     private static final int INITIAL_RETRY_DIVISOR = 12;
-
+    /** Longest delay of that backoff, as a divisor of the renewal interval. */
     private static final int FINAL_RETRY_DIVISOR = 3;
-    /** After so many renewals elsewhere the helm of the own zone is tried again. */
+    /** Renewals with a controller of another zone after which the own zone's is tried again. */
     private static final int LOCAL_ZONE_RETRY_RENEWALS = 10;
 
     private final Supplier<Settings> settings;
@@ -43,25 +47,29 @@
     private final EventLog log;
     private String controller;
     private boolean isOpen;
-    /** Numbers this side's sessions: the higher one holds. */
+    /** Numbers this proxy's sessions: the session with the highest number is valid. */
     private long sessionNumber;
 
     private int missedRenewals;
     private int renewalCount;
     private int rotationIndex;
-    /** The home helm that was tried while the session was elsewhere: it is tried at once when first heard of. */
+    /** The own zone's controller as last tried; a new one is tried as soon as it is known. */
     private String lastLocalControllerTried;
 
     private boolean hasRaisedNumber;
     private boolean isRetryScheduled;
     private long retryDelayMs;
 
-    /** What runs began here, where somebody wants to know; goes with each renewal. */
+    /** Counts of executed requests, sent with each renewal; null without usage reporting. */
     private final UsageCounter usageCounter;
 
     private final ClusterClock clusterClock;
     private String usageReceiver;
 
+    /**
+     * @param usageCounter null where usage reporting is off
+     * @param callTimeoutMs time-out of a call to a controller
+     */
     public ControllerSession(
             Supplier<Settings> settings,
             GossipStore gossip,
@@ -87,16 +95,17 @@
         this.log = log;
     }
 
+    /** Whether a controller has confirmed the session and not missed the last renewals. */
     public boolean isOpen() {
         return isOpen;
     }
 
-    /** The helm it has a session with, or seeks one with; null before the first. */
+    /** The peer address of the controller with which a session is open or being opened; null before the first. */
     public String controller() {
         return controller;
     }
 
-    /** To be called once in each renewal. */
+    /** Renews the session or opens one; to be called once in each renewal interval. */
     public void renew() {
         if (controller == null || missedRenewals >= MAX_MISSED_RENEWALS) {
             if (isOpen) {
@@ -121,9 +130,11 @@
         }
     }
 
+    /** Tells the controller that this proxy leaves; best effort. */
     public void close() {
         if (controller != null) {
-            transport.call(controller, "session", newRequest(controller, sessionNumber, true), callTimeoutMs, a -> {});
+            transport.call(
+                    controller, "session", newRequest(controller, sessionNumber, true), callTimeoutMs, response -> {});
         }
     }
 
@@ -137,7 +148,10 @@
         return null;
     }
 
-    /** The helm of the own zone; where that is unknown or silent the others in turn, each side in an order of its own. */
+    /**
+     * The own zone's controller, or where it is unknown or silent the others in turn, in an order that differs by
+     * proxy.
+     */
     private void selectController() {
         String localController = localController();
         List<String> controllers = new ArrayList<>(EndpointDirectory.controllerAddresses(gossip, settings.get()));
@@ -146,7 +160,7 @@
             controller = localController;
         } else if (!controllers.isEmpty()) {
             controllers.sort(Comparator.comparingLong(
-                    h -> RendezvousHash.weight(settings.get().node(), h)));
+                    address -> RendezvousHash.weight(settings.get().node(), address)));
             controller = controllers.get(rotationIndex++ % controllers.size());
         }
         sessionNumber++;
@@ -181,8 +195,8 @@
     }
 
     /**
-     * Without a session nothing is known for sure: the next helm is asked soon, but less and less so, for helms that are
-     * slow to answer are made slower by being asked.
+     * Without a session the next controller is tried soon, with exponential backoff and jitter: controllers that answer
+     * slowly would be slowed further by frequent attempts.
      */
     private void scheduleRetry() {
         if (isRetryScheduled) {
@@ -218,7 +232,7 @@
         return request;
     }
 
-    /** The helm has the sums as they were told, and says what time most have. */
+    /** The controller has taken the usage counts as sent, and returns the cluster's time. */
     private void onUsageAcknowledged(String address, long sentAtMs, JsonNode response) {
         if (usageCounter == null) {
             return;
@@ -236,7 +250,7 @@
         if (!response.path("ok").asBoolean()) {
             sessionNumber = Math.max(sessionNumber, response.path("n").asLong()) + 1;
             gossip.raiseIncarnation(response.path("life").asLong());
-            // An earlier process had a session of a higher number: above that it is taken at once.
+            // An earlier process had a session of a higher number: a number above that is accepted at once.
             if (!hasRaisedNumber) {
                 hasRaisedNumber = true;
                 sendRenewal();
@@ -266,7 +280,7 @@
         }
     }
 
-    /** The helm here hears nothing of who leads, and may be cut off: another one is asked as well. */
+    /** This controller has no contact with the leader and may be partitioned: another one is asked as well. */
     private void reconcileWithAnotherController() {
         List<String> others = new ArrayList<>(EndpointDirectory.controllerAddresses(gossip, settings.get()));
         others.remove(controller);
@@ -276,7 +290,9 @@
         }
     }
 
-    /** The session here goes on under its own number until the one at home stands. */
+    /**
+     * Opens a session with the own zone's controller; the present one continues under its number until that succeeds.
+     */
     private void tryLocalController(String localController) {
         long nextNumber = sessionNumber + 1;
         String previousController = controller;
@@ -290,7 +306,8 @@
                         controller = localController;
                         onResponse(response);
                     } else {
-                        // It may stand there all the same, and lapse: the session here must outrank that.
+                        // It may have been opened all the same and will expire: the present session needs a higher
+                        // number.
                         sessionNumber = nextNumber + 1;
                     }
                 });
--- a/src/main/java/bramblespool/coordination/membership/EndpointDirectory.java
+++ b/src/main/java/bramblespool/coordination/membership/EndpointDirectory.java
@@ -15,19 +15,28 @@
 import java.util.Set;
 import java.util.function.ToIntFunction;
 
-/** The data plane's daemons and their doors as the news tells, with what this daemon has itself seen of them. */
+/**
+ * The proxies and the endpoints they announce by gossip, combined with what this process has observed of them:
+ * outstanding requests, reported load, suspicion. Chooses the endpoint for a request. Confined to the event loop.
+ */
 public final class EndpointDirectory {
-    /** Another daemon of the data plane. */
+    /** A sidecar or gateway, this process included. */
     public static final class Proxy {
+        /** The node's name. */
         public final String node;
+        /** The peer address; null as long as only a session of the node is known. */
         public String address;
+        /** Where it accepts requests from other proxies; null like {@link #address}. */
         public String inboundAddress;
+        /** The node's zone; null like {@link #address}. */
         public String zone;
+
         boolean hasLeft;
         boolean hasNoSession;
         long suspectedUntilMs;
+        /** When this process last received an answer from it, on the event loop's clock. */
         public long lastHeardMs;
-        /** When it was last told the news because its marks were old. */
+        /** When anti-entropy with it was last started because it used an old version mark. */
         public long lastUpdateSentMs;
 
         private final Map<String, Endpoint> endpoints = new HashMap<>();
@@ -41,11 +50,15 @@
         }
     }
 
-    /** What a daemon leads to: its servers of one service, behind its gates. A weft has one door, with one server. */
+    /** A proxy's servers of one service. A sidecar has one endpoint with one server. */
     public static final class Endpoint {
+        /** The proxy through which the servers are reached. */
         public final Proxy proxy;
+        /** The service. */
         public final String target;
+        /** The servers' ids, separated by spaces; empty where none is known. */
         public String serverIds = "";
+
         int capacity = 1;
         boolean isAccepting;
         long warmingUpUntilMs;
@@ -61,19 +74,24 @@
         }
     }
 
-    /** After so long a reported load says little more than what the service's doors report on the whole. */
+    /** Time constant of the exponential decay of a reported load towards the service's typical utilization. */
     private static final double REPORT_DECAY_MS = 400;
-    /** And then nothing more: a trace of old news must not decide between two doors. */
+    /** Age from which a reported load is ignored: a remainder of it must not decide between two endpoints. */
     private static final long REPORT_EXPIRY_MS = 800;
-    /** Below this share of its capacity a near server is taken before a far one. */
+    /** Utilization below which an endpoint of the own zone is preferred to one of another zone. */
     private static final double SAME_ZONE_UTILIZATION_LIMIT = 0.8;
 
+    /** Added to the cost of an endpoint in slow start, as utilization. */
     private static final double WARMUP_COST = 0.6;
-    /** What a server that fails everything costs more, in loads of itself: one that fails a part gets less, not nothing. */
+    /**
+     * Added to the cost at a failure rate of 1, as utilization: a server that fails some requests gets fewer, not none.
+     */
     public static final double FAILURE_COST = 2;
-    /** What each step of slowness costs more: a request at a server that takes many times as long misses its aim. */
+    /**
+     * Added to the cost for each slowness level, as utilization: at a slow server a request misses its latency target.
+     */
     public static final double SLOWNESS_COST = 1;
-    /** How much one report weighs in what a service's doors usually report. */
+    /** Weight of one report in the moving average of a service's typical utilization. */
     private static final double UTILIZATION_EWMA_WEIGHT = 0.02;
 
     private final Clock clock;
@@ -83,12 +101,15 @@
     private final ToIntFunction<String> localLoad;
     private final Map<String, Proxy> proxies = new HashMap<>();
     private final Map<String, List<Endpoint>> endpointsByService = new HashMap<>();
-    /** For each service, the share of their capacity that its doors usually report as taken. */
+    /** For each service, the moving average of its endpoints' reported utilization. */
     private final Object2DoubleOpenHashMap<String> typicalUtilization = new Object2DoubleOpenHashMap<>();
 
     private final Set<String> evacuatedZones = new HashSet<>();
 
-    /** {@code own}: how many requests this daemon's own gates of a service hold. */
+    /**
+     * @param suspicionMs how long a proxy that did not answer is avoided
+     * @param localLoad the number of requests that this process's own admissions of a service hold
+     */
     public EndpointDirectory(
             Clock clock, String localNode, String localZone, long suspicionMs, ToIntFunction<String> localLoad) {
         this.localLoad = localLoad;
@@ -98,7 +119,7 @@
         this.suspicionMs = suspicionMs;
     }
 
-    /** The peer addresses of the helms that the news knows, and of the seeds. */
+    /** The peer addresses of the controllers known by gossip and of the seed peers. */
     public static Set<String> controllerAddresses(GossipStore gossip, Settings settings) {
         Set<String> addresses = new LinkedHashSet<>();
         for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(GossipKeys.CONTROLLER_KEY_PREFIX)) {
@@ -110,7 +131,7 @@
         return addresses;
     }
 
-    /** The helms that say they are voters; all that are known where none does. */
+    /** The peer addresses of the controllers that announce themselves as voters; of all known ones where none does. */
     public static List<String> voterAddresses(GossipStore gossip, Settings settings) {
         List<String> addresses = new ArrayList<>();
         for (GossipStore.GossipEntry entry : gossip.entriesWithPrefix(GossipKeys.CONTROLLER_KEY_PREFIX)) {
@@ -122,6 +143,7 @@
         return addresses.isEmpty() ? new ArrayList<>(controllerAddresses(gossip, settings)) : addresses;
     }
 
+    /** Takes a new version of a gossip entry; entries of other kinds are ignored. */
     public void onUpdate(GossipStore.GossipEntry entry) {
         if (entry.key().startsWith(GossipKeys.PROXY_KEY_PREFIX)) {
             updateProxy(proxy(entry.key().substring(GossipKeys.PROXY_KEY_PREFIX.length())), entry.body());
@@ -188,11 +210,12 @@
         endpoint.warmingUpUntilMs = warmupLeftMs > 0 ? clock.nowMs() + warmupLeftMs : 0;
     }
 
+    /** The proxy of that name, or null. */
     public Proxy findProxy(String node) {
         return proxies.get(node);
     }
 
-    /** How many daemons of the data plane there are. */
+    /** How many proxies there are, those that have left not counted. */
     public int proxyCount() {
         int count = 0;
         for (Proxy proxy : proxies.values()) {
@@ -203,7 +226,7 @@
         return count;
     }
 
-    /** The least capacity that servers of a service are known to have, or the given one where none is known. */
+    /** The smallest capacity announced for an endpoint of the service, or the default where none is known. */
     public int smallestCapacity(String service, int defaultCapacity) {
         int least = Integer.MAX_VALUE;
         for (Endpoint endpoint : endpointsByService.getOrDefault(service, List.of())) {
@@ -214,6 +237,7 @@
         return least == Integer.MAX_VALUE ? defaultCapacity : least;
     }
 
+    /** Whether any endpoint of any service accepts requests. */
     public boolean hasAvailableServer() {
         for (Proxy proxy : proxies.values()) {
             for (Endpoint endpoint : proxy.endpoints.values()) {
@@ -225,11 +249,12 @@
         return false;
     }
 
+    /** Whether the operator has evacuated the zone. */
     public boolean isEvacuated(String zone) {
         return evacuatedZones.contains(zone);
     }
 
-    /** Those to pass news to; with {@code near}, of the own zone only. */
+    /** The peer addresses of the other proxies that have a session, optionally only those of the own zone. */
     public List<String> peerAddresses(boolean sameZoneOnly) {
         List<String> addresses = new ArrayList<>();
         for (Proxy proxy : proxies.values()) {
@@ -244,16 +269,19 @@
         return addresses;
     }
 
-    // ---- what is seen of them
+    // ---- observations
 
+    /** Counts a request sent to the endpoint; to be followed by {@link #onRequestEnded}. */
     public void onRequestStarted(Endpoint endpoint) {
         endpoint.outstandingRequests++;
     }
 
+    /** Ends what {@link #onRequestStarted} began. */
     public void onRequestEnded(Endpoint endpoint) {
         endpoint.outstandingRequests--;
     }
 
+    /** Takes the load, running and queued requests, that the endpoint reported with a response. */
     public void recordLoad(Endpoint endpoint, int load) {
         endpoint.reportedLoad = load;
         endpoint.reportedAtMs = clock.nowMs();
@@ -264,18 +292,20 @@
                 endpoint.target, typical + UTILIZATION_EWMA_WEIGHT * ((double) load / endpoint.capacity - typical));
     }
 
+    /** Records that the proxy did not answer: it is avoided for {@code suspicionMs}, or until it answers. */
     public void markSuspected(Proxy proxy) {
         proxy.suspectedUntilMs = clock.nowMs() + suspicionMs;
     }
 
+    /** Whether {@link #markSuspected} is still in effect. */
     public boolean isSuspected(Proxy proxy) {
         return proxy.suspectedUntilMs > clock.nowMs();
     }
 
     /**
-     * The share of a door's capacity that is likely taken: what it reported, the less believed the older it is, and the
-     * rest as with the service's doors on the whole. So one that was seen idle goes before one nobody has seen lately,
-     * and that before one that was seen full.
+     * The estimated utilization of an endpoint: its last report, decaying with age to the service's typical
+     * utilization. So an endpoint that was idle precedes one without a recent report, and that precedes one that was
+     * full.
      */
     private double utilization(Endpoint endpoint, long nowMs) {
         if (endpoint.proxy.node.equals(localNode)) {
@@ -298,7 +328,10 @@
                 + endpoint.slownessLevel * SLOWNESS_COST;
     }
 
-    /** A door of the service not tried yet, or null where there is none. */
+    /**
+     * Chooses an endpoint of the service by power of two choices: of the own zone where one has room, else of any zone;
+     * null where all have been tried or none exists.
+     */
     public Endpoint chooseEndpoint(String service, Set<Endpoint> tried) {
         List<Endpoint> candidates = endpointsByService.get(service);
         if (candidates == null) {
@@ -332,7 +365,8 @@
                 sameZone.add(endpoint);
             }
         }
-        // Where all seem lost it is likelier that the news is: any server that said it was open is tried.
+        // Where all seem unhealthy the information is more likely wrong: any endpoint that announced itself open is
+        // tried.
         return pickByPowerOfTwoChoices(
                 !sameZone.isEmpty() ? sameZone : !healthy.isEmpty() ? healthy : unhealthy, nowMs);
     }
--- a/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
+++ b/src/main/java/bramblespool/coordination/tenancy/AdmissionClient.java
@@ -22,32 +22,39 @@
 import java.util.function.Supplier;
 
 /**
- * A side's questions to the helms before a request may go on: a token of its tenant's, and the claim of its operation key,
- * both in one message to the helm that owns the slice.
+ * Asks the controllers to admit a request: a rate-limit token of its tenant and the claim of its idempotency key, both
+ * in one message to the controller that owns the tenant's shard. Confined to the event loop.
  */
 public final class AdmissionClient {
-    /** What came of the question. {@code waitMs}: over the limit, and when to come back. */
+    /**
+     * The answer.
+     *
+     * @param waitMs when to try again; 0 where it does not matter
+     * @param existingClaim the claim that the key's register holds, only with {@link Verdict#CLAIMED_ELSEWHERE}
+     */
     public record Decision(Verdict verdict, long waitMs, String existingClaim) {}
 
+    /** Kinds of answers. */
     public enum Verdict {
-        /** It may go on. */
+        /** The request may be forwarded. */
         ADMITTED,
-        /** The tenant is over its limit. */
+        /** The tenant is over its rate limit. */
         RATE_LIMITED,
-        /** The key is another's, whose claim is given. */
+        /** Another claim holds the key. */
         CLAIMED_ELSEWHERE,
-        /** No helm could tell in time. */
+        /** No controller answered in time. */
         UNKNOWN
     }
 
-    /** Slices of tenants; each is owned whole by one helm. */
+    /** Number of shards of tenants; each has one owner among the controllers. */
     public static final int SHARD_COUNT = 16;
-    /** Ratios to {@code quiet}: how long one helm is waited for, how long it is left aside after that, the pause between. */
+    /** The time-out of a call to one controller is {@code quiet} divided by this. */
     private static final int CALL_TIMEOUT_DIVISOR = 16;
-
+    /** A controller that did not answer is avoided for {@code quiet} divided by this. */
     private static final int EXCLUSION_DIVISOR = 5;
+    /** The pause between two attempts is {@code quiet} divided by this. */
     private static final int RETRY_DIVISOR = 60;
-    /** The least time worth asking in. */
+    /** Remaining time below which no controller is asked. */
     private static final long MIN_TIMEOUT_MS = 5;
 
     private final Clock clock;
@@ -59,11 +66,15 @@
     private final Map<String, String> ownersByShard = new HashMap<>();
     private final Map<String, Long> fencingTokens = new HashMap<>();
     private final Map<String, Long> excludedUntilMs = new HashMap<>();
-    /** Tenants over their limit, and until when nobody needs to ask for them. */
+    /** Tenants over their limit, and until when their requests are rejected without asking. */
     private final Map<String, Long> rateLimitedUntilMs = new HashMap<>();
 
     private final MessageDigest sha256;
 
+    /**
+     * @param voters the peer addresses of the controllers to ask
+     * @param quietMs the setting {@code quiet}, from which the time-outs follow
+     */
     public AdmissionClient(Clock clock, PeerTransport transport, Supplier<List<String>> voters, long quietMs) {
         this.clock = clock;
         this.transport = transport;
@@ -78,12 +89,15 @@
         }
     }
 
+    /** The name of a tenant's shard. */
     public static String shardOf(String tenant) {
         return RegisterProposer.SHARD_KEY_PREFIX
                 + Long.remainderUnsigned(RendezvousHash.mix(tenant.hashCode() * 0x9E3779B97F4A7C15L), SHARD_COUNT);
     }
 
-    /** The register of an operation: its slice, and a digest of whose it is and its key, neither of which is told. */
+    /**
+     * The register of an idempotency key: the shard and a digest of tenant and key, neither of which is sent in clear.
+     */
     public String registerId(String tenant, String key) {
         String shard = shardOf(tenant);
         byte[] digest = sha256.digest((tenant + "\n" + key).getBytes(StandardCharsets.UTF_8));
@@ -91,7 +105,7 @@
                 + Base64.getUrlEncoder().withoutPadding().encodeToString(digest).substring(0, 20);
     }
 
-    /** A number that tells requests apart which came under one key. */
+    /** A digest that distinguishes different requests under one idempotency key. */
     public long fingerprint(String method, String host, String target, byte[] body) {
         sha256.update((method + " " + host + " " + target + "\n").getBytes(StandardCharsets.UTF_8));
         byte[] digest = sha256.digest(body);
@@ -103,10 +117,13 @@
     }
 
     /**
-     * Asks for a token where the tenant has a limit, and for the claim where a register is named.
+     * Asks for a token where the tenant has a limit, and for the claim where a register is named. The callback runs
+     * exactly once, possibly before this returns.
      *
-     * @param limit the tenant whose limit holds, or null
-     * @param claim what to set the register to where it is empty or holds {@code instead}, or null
+     * @param limit the tenant whose rate limit applies, or null
+     * @param registerId the idempotency key's register, or null
+     * @param claim what to set the register to where it is empty or holds {@code expectedClaim}
+     * @param expectedClaim the claim to be replaced, or null
      */
     public void admit(
             String tenant,
@@ -176,7 +193,9 @@
             });
         }
 
-        /** The owner as far as it is known, else who is first in line of those that answer; each once, then all again. */
+        /**
+         * The shard's owner where it is known, else the next by rendezvous hash; each controller once, then all again.
+         */
         private String nextController() {
             long nowMs = clock.nowMs();
             String owner = ownersByShard.get(shard);
@@ -204,7 +223,7 @@
             String owner = response.path("owner").asText("");
             long fencingToken = response.path("fence").asLong();
             if (fencingToken < fencingTokens.getOrDefault(shard, 0L)) {
-                // A holder whose duty has gone to another does not know yet.
+                // A former owner that does not know yet that the shard has a new one.
                 retryLater();
                 return;
             }
@@ -230,7 +249,7 @@
             }
         }
 
-        /** Nobody holds the duty just now, or no majority answers: it is asked again while there is time. */
+        /** The shard has no owner now, or no majority answers: asks again while there is time. */
         private void retryLater() {
             if (deadlineMs - clock.nowMs() <= retryDelayMs + MIN_TIMEOUT_MS) {
                 callback.accept(new Decision(Verdict.UNKNOWN, retryDelayMs, null));
--- a/src/main/java/bramblespool/coordination/tenancy/IdempotencyTable.java
+++ b/src/main/java/bramblespool/coordination/tenancy/IdempotencyTable.java
@@ -8,29 +8,34 @@
 import java.util.Map;
 
 /**
- * The operations whose keys this side has claimed. The register of a key names a side and its life; that side alone says
- * what became of the operation: while its claim stands, the request is run from here or nowhere.
+ * The operations whose idempotency keys this proxy has claimed. A key's register names a proxy and the run of its
+ * process, and only that proxy knows the outcome of the operation: while its claim is valid, the request is executed
+ * from here or not at all. Confined to the event loop.
  */
 public final class IdempotencyTable {
-    /** What is known of an operation here. */
+    /** The state of an operation; its name is sent to other proxies. */
     public enum State {
-        /** Its claim is being asked for. */
+        /** Its claim has been requested. */
         CLAIMING,
-        /** Never handed on under its claim, whether that was won or not: it may be run, or given away. */
+        /** Never forwarded under its claim, whether that was won or not: it may be executed, or given up. */
         IDLE,
-        /** In work. */
+        /** Being executed. */
         RUNNING,
-        /** Answered, and the answer is here or was dropped for want of room. */
+        /** Answered; the response is stored here, or was dropped to save memory. */
         ANSWERED,
-        /** Handed on, and nobody can say what came of it: it stays shut. */
+        /** Forwarded, and its outcome is unknown: it is not executed again. */
         UNKNOWN,
-        /** The claim was given up for good, for another side to replace. */
+        /** The claim was given up for good, so that another proxy may replace it. */
         GIVEN
     }
 
-    /** The first answer, whole, as every repeat gets it: names and values of headers in turn. */
+    /**
+     * The first response, as every repeated request gets it.
+     *
+     * @param headers names and values in turn
+     */
     public record StoredResponse(int statusCode, List<String> headers, byte[] body) {
-        /** About what it takes in memory. */
+        /** Approximate size in memory. */
         int sizeBytes() {
             int total = body.length;
             for (String header : headers) {
@@ -40,12 +45,12 @@
         }
     }
 
-    /** An operation as it stands here. */
+    /** An operation; changed by this table only. */
     public static final class Operation {
         private final String id;
         private final long fingerprint;
         private State state = State.CLAIMING;
-        /** The last claim: every one is written differently, so that one given up is never taken for a later one. */
+        /** The last claim. Each claim is unique, so that one that was given up is never mistaken for a later one. */
         private String claim;
 
         private boolean isClaimWon;
@@ -58,23 +63,27 @@
             this.fingerprint = fingerprint;
         }
 
+        /** The register's id. */
         public String id() {
             return id;
         }
 
+        /** The present state. */
         public State state() {
             return state;
         }
 
+        /** The last claim. */
         public String claim() {
             return claim;
         }
 
+        /** The stored response, or null. */
         public StoredResponse response() {
             return response;
         }
 
-        /** Whether its claim stands, so that it needs no other one to be run. */
+        /** Whether its claim was won and not given up, so that it may be executed without another one. */
         public boolean isClaimWon() {
             return isClaimWon;
         }
@@ -87,7 +96,7 @@
 
     private record Expiry(String id, long expiresAtMs) {}
 
-    /** An operation and its claim are known for longer than the window, which begins when the client sends the request. */
+    /** Retention as a multiple of the window, which begins when the client sends the request. */
     private static final double RETENTION_FACTOR = 1.25;
 
     private final Clock clock;
@@ -101,8 +110,9 @@
     private long claimCount;
 
     /**
-     * {@code claimer}: this side and its life; {@code mostBytes}: what the answers kept may take. Of the oldest ones beyond
-     * it only the fact is kept.
+     * @param claimant this proxy and the run of its process
+     * @param windowMs how long an operation is retained
+     * @param maxBytes limit of the stored responses; beyond it the oldest are dropped, but not their operations
      */
     public IdempotencyTable(Clock clock, String claimant, long windowMs, long maxBytes) {
         this.claimant = claimant;
@@ -111,25 +121,30 @@
         this.maxBytes = maxBytes;
     }
 
-    /** For how long an operation is remembered, here and in its register, where tries within a window may not both run. */
+    /**
+     * The retention of an operation, here and in its register, for a window within which it must not be executed twice.
+     */
     public static long retentionMs(long windowMs) {
         return (long) (windowMs * RETENTION_FACTOR);
     }
 
+    /** Number of operations. */
     public int size() {
         return operations.size();
     }
 
+    /** Approximate size of the stored responses. */
     public long storedBytes() {
         return storedBytes;
     }
 
+    /** The operation of a register, or null. */
     public Operation get(String id) {
         expire();
         return operations.get(id);
     }
 
-    /** A claim for a key that nothing is known of here, or that was not won, or was given away. */
+    /** Starts a claim for a key that is unknown here, or whose last claim was not won or was given up. */
     public Operation startClaim(String id, long fingerprint) {
         Operation operation = operations.get(id);
         if (operation == null) {
@@ -144,24 +159,24 @@
         return operation;
     }
 
-    /** The claim stands and the request is in work from now on. */
+    /** The claim was won and the request is executed from now on. */
     public void markRunning(Operation operation) {
         operation.state = State.RUNNING;
         operation.isClaimWon = true;
         operation.expiresAtMs = clock.nowMs() + windowMs;
     }
 
-    /** It was refused before it was handed on: it may be tried again, here or elsewhere. */
+    /** It was rejected before it was forwarded: it may be tried again, here or elsewhere. */
     public void markIdle(Operation operation) {
         operation.state = State.IDLE;
     }
 
-    /** It may have run, and no answer came. */
+    /** It may have been executed, and no response arrived. */
     public void markUnknown(Operation operation) {
         operation.state = State.UNKNOWN;
     }
 
-    /** It was answered; null where the answer was too large to be kept. */
+    /** It was answered; {@code response} is null where it was too large to be stored. */
     public void recordResponse(Operation operation, StoredResponse response) {
         operation.state = State.ANSWERED;
         if (response == null) {
@@ -183,14 +198,14 @@
     }
 
     /**
-     * What another side is told that found a claim of this life in the register: the operation, or null where that claim
-     * is void and will never be acted on, as of now at the latest.
+     * Answers another proxy that found a claim of this run in the register: the operation, or null where the claim is
+     * void and will never be used, from now on at the latest. Gives up a claim that has not been used.
      */
     public Operation resolveClaim(String id, String claim) {
         expire();
         Operation operation = operations.get(id);
         if (operation == null || !claim.equals(operation.claim) || operation.state == State.GIVEN) {
-            // Forgotten only when its window is over, and replaced only where it was never acted on.
+            // Removed only after its window, and replaced only where it was never used.
             return null;
         }
         if (operation.state == State.IDLE) {
@@ -220,7 +235,7 @@
         }
     }
 
-    /** Answers expire nearly in the order in which they came. */
+    /** Responses expire nearly in the order in which they arrived, so the search ends soon. */
     private void removeAnswered(Operation operation) {
         for (Iterator<Operation> iterator = answeredOperations.iterator(); iterator.hasNext(); ) {
             if (iterator.next() == operation) {
--- a/src/main/java/bramblespool/coordination/tenancy/RequestAdmission.java
+++ b/src/main/java/bramblespool/coordination/tenancy/RequestAdmission.java
@@ -11,33 +11,46 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What a request must get past before it is sent anywhere: its tenant's limit, and the claim of its operation key. */
+/**
+ * Admits a request before it is forwarded: by its tenant's rate limit and the claim of its idempotency key. Confined to
+ * the event loop.
+ */
 public final class RequestAdmission {
-    /** Whose request it is, and which operation; {@code limited} is null without a limit, {@code register} without a key. */
+    /**
+     * A request to be admitted.
+     *
+     * @param limit null without a rate limit
+     * @param registerId null without an idempotency key
+     * @param fingerprint see {@link AdmissionClient#fingerprint}
+     */
     public record AdmissionRequest(String tenant, Tenant limit, long epoch, String registerId, long fingerprint) {
         boolean isUnrestricted() {
             return limit == null && registerId == null;
         }
     }
 
+    /** Gets the outcome of an admission: exactly one method is called, once. */
     public interface AdmissionHandler {
-        /** It may be sent; whoever sends it tells what comes of the operation, if there is one. */
+        /**
+         * The request may be forwarded; the handler records the outcome of the operation, which is null without a key.
+         */
         void proceed(Operation operation);
 
+        /** The request is answered with this status; {@code retryMs} is 0 without a time to retry. */
         void reject(int status, long retryMs, String reason);
 
-        /** It has run before, and this is what the first one was answered. */
+        /** The request was executed before, with this response. */
         void replay(IdempotencyTable.StoredResponse response);
     }
 
-    /** Asks the daemon that a claim names for the outcome of the claimed operation. */
+    /** Asks the proxy that a claim names for the outcome of the claimed operation. */
     public interface OutcomeQuery {
-        /** The callback gets null where that daemon did not answer, or cannot know the outcome after a restart. */
+        /** The callback gets null where that proxy did not answer, or cannot know the outcome after a restart. */
         void queryOperation(
                 String registerId, String claim, long fingerprint, long timeoutMs, Consumer<JsonNode> callback);
     }
 
-    /** After how long a repeat may ask again for an operation that is in work. */
+    /** When a repeated request may be sent again while the operation is being executed. */
     private static final long IN_PROGRESS_RETRY_MS = 100;
 
     private final AdmissionClient admissionClient;
@@ -45,6 +58,7 @@
     private final OutcomeQuery outcomeQuery;
     private final EventLog log;
 
+    /** {@code outcomeQuery}: asks other proxies about their claims. */
     public RequestAdmission(
             AdmissionClient admissionClient,
             IdempotencyTable idempotencyTable,
@@ -56,6 +70,7 @@
         this.log = log;
     }
 
+    /** Admits a request; the handler may be called before this returns. */
     public void admit(AdmissionRequest request, long timeoutMs, AdmissionHandler handler) {
         if (request.isUnrestricted()) {
             handler.proceed(null);
@@ -67,13 +82,13 @@
             return;
         }
         if (!operation.isSameRequest(request.fingerprint)) {
-            handler.reject(422, 0, "the key is another request's");
+            handler.reject(422, 0, "the key belongs to another request");
             return;
         }
         switch (operation.state()) {
-            case CLAIMING, RUNNING -> handler.reject(409, IN_PROGRESS_RETRY_MS, "in work");
+            case CLAIMING, RUNNING -> handler.reject(409, IN_PROGRESS_RETRY_MS, "in progress");
             case ANSWERED -> replayStored(operation.response(), handler);
-            case UNKNOWN -> handler.reject(409, 0, "what came of it is not known");
+            case UNKNOWN -> handler.reject(409, 0, "the outcome is unknown");
             default -> {
                 if (operation.isClaimWon()) {
                     readmit(request, operation, timeoutMs, handler);
@@ -86,13 +101,13 @@
 
     private void replayStored(IdempotencyTable.StoredResponse response, AdmissionHandler handler) {
         if (response == null) {
-            handler.reject(409, 0, "it has run, and its answer is no longer here");
+            handler.reject(409, 0, "executed before, and the response is no longer stored");
         } else {
             handler.replay(response);
         }
     }
 
-    /** The claim stands since an earlier try that never ran: only the limit is asked for. */
+    /** The claim was won by an earlier attempt that was never executed: only a token is needed. */
     private void readmit(AdmissionRequest request, Operation operation, long timeoutMs, AdmissionHandler handler) {
         idempotencyTable.markRunning(operation);
         if (request.limit == null) {
@@ -147,14 +162,14 @@
 
     private void rejectDecision(AdmissionClient.Decision decision, AdmissionHandler handler) {
         if (decision.verdict() == AdmissionClient.Verdict.RATE_LIMITED) {
-            handler.reject(429, decision.waitMs(), "over the limit");
+            handler.reject(429, decision.waitMs(), "over the rate limit");
         } else {
             log.log(Event.ADMISSION_UNAVAILABLE, "cause", decision.verdict());
-            handler.reject(503, decision.waitMs(), "nobody could admit it");
+            handler.reject(503, decision.waitMs(), "no controller could admit it");
         }
     }
 
-    /** The key is claimed by another side: only that one knows what came of it. */
+    /** Another proxy has claimed the key: only that one knows the outcome. */
     private void resolveConflict(
             AdmissionRequest request,
             Operation operation,
@@ -175,7 +190,7 @@
                 idempotencyTable.recordResponse(operation, response);
                 handler.replay(response);
             } else if (state.equals("DIFFERS")) {
-                handler.reject(422, 0, "the key is another request's");
+                handler.reject(422, 0, "the key belongs to another request");
             } else {
                 log.log(
                         Event.IDEMPOTENCY_KEY_IN_USE,
--- a/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
+++ b/src/main/java/bramblespool/coordination/tenancy/ShardLeases.java
@@ -22,25 +22,25 @@
 import java.util.function.Consumer;
 
 /**
- * Who owns which slice of the tenants, without a leader. A helm may act for its slices only under a lease: a majority of
- * the voters has granted it within a short time, counted from when it asked. Who takes a slice over first has a majority
- * of the voters promise to grant the silent owner nothing more, which each does only when its own last grant is older than
- * a lease; then it replaces the owner's name in the slice's register. An owner that finds its lease run out gives all its
- * slices up before it asks for another one.
+ * Ownership of the tenants' shards, without a leader. A controller may act for its shards only under a lease, which a
+ * majority of the voters has granted within a short time, counted from its request. A controller that takes a shard
+ * over first has a majority of the voters promise not to grant the silent owner anything more, which each does only
+ * when its own last grant is older than a lease; then it replaces the owner in the shard's register. An owner that
+ * finds its lease expired gives up all its shards before it asks for another lease. Confined to the event loop.
  */
 public final class ShardLeases {
-    /** Ratios to {@code quiet}: how long a lease lasts, and how often it is asked for. */
+    /** A lease lasts {@code quiet} divided by this. */
     private static final int LEASE_DIVISOR = 7;
-
+    /** A lease is renewed every {@code quiet} divided by this. */
     private static final int RENEWAL_DIVISOR = 24;
-    /** The owner counts its lease for this part of it: clocks run alike, but not quite. */
+    /** The owner counts its lease for this fraction of it, because clocks differ in rate. */
     private static final double OWNER_LEASE_FRACTION = 0.9;
-    /** A barred helm is granted nothing for so many leases: as long as what it asked for before may still arrive. */
+    /** Duration of a bar in leases: as long as an earlier request of the barred controller may still arrive. */
     private static final int BARRED_LEASES = 2;
-    /** A lease is renewed for so many leases after anybody has asked. */
+    /** Leases for which the lease is renewed after the last request for tokens. */
     private static final int REQUESTED_LEASES = 20;
 
-    /** A slice's owner as its register names it. */
+    /** A shard's owner as encoded in its register: peer address, lease id and fencing token, separated by spaces. */
     private record ShardOwner(String peer, String leaseId, long fencingToken, String encoded) {
         static ShardOwner decode(String encoded) {
             String[] parts = encoded == null ? new String[0] : encoded.split(" ");
@@ -61,26 +61,34 @@
     private final long startedAtMs;
     private boolean isVoter;
     private long voterSinceMs;
-    /** As a voter: when each helm was last granted a lease, and until when it is granted none. */
+    /** As a voter: when each controller was last granted a lease. */
     private final Map<String, Long> grantedAtMs = new HashMap<>();
-
+    /** As a voter: until when a controller is granted none. */
     private final Map<String, Long> barredUntilMs = new HashMap<>();
-    /** As an owner: this lease's name, and since when a majority stands behind it. */
+    /** Distinguishes the runs of this process in lease ids. */
     private final String processId;
-
+    /** As an owner: the present lease. */
     private String leaseId;
+
     private long leaseCount;
+    /** As an owner: the time of the last request that a majority granted. */
     private long leasedSinceMs = Long.MIN_VALUE / 2;
+
     private final Map<String, ShardOwner> owners = new HashMap<>();
     private final Set<String> acquiringShards = new HashSet<>();
     private final Map<String, Long> ownershipTerms = new HashMap<>();
     private long lastOwnershipTerm;
-    /** Slices that nobody had owned for as long as a register lives, each with its term. */
+    /** Shards without an owner for as long as a register is retained, each with its ownership term. */
     private final Set<String> firstOwnerships = new HashSet<>();
 
     private boolean isLeaseLost;
     private long requestedAtMs = Long.MIN_VALUE / 2;
 
+    /**
+     * @param self this controller's member id
+     * @param quietMs the setting {@code quiet}
+     * @param registerRetentionMs how long a register without a write is retained
+     */
     public ShardLeases(
             ReplicatedState replicatedState,
             RegisterProposer registerProposer,
@@ -105,7 +113,7 @@
         startNewLease();
     }
 
-    /** The voters have changed: what those before a new one granted and promised it does not know. */
+    /** The voters have changed. A new voter does not know what earlier voters granted and promised. */
     public void onVotersChanged() {
         boolean isNowVoter = replicatedState.voterSinceIndexes().containsKey(self);
         if (isNowVoter && !isVoter) {
@@ -114,6 +122,7 @@
         isVoter = isNowVoter;
     }
 
+    /** Starts the timers for renewals. */
     public void start() {
         clock.scheduleRepeatedly(renewalMs, this::renewLease);
         clock.scheduleRepeatedly(refreshIntervalMs, this::refreshOwned);
@@ -123,15 +132,15 @@
         leaseId = processId + "." + ++leaseCount;
     }
 
-    // ---- the lease
+    // ---- lease
 
-    /** Whether this helm may act for its slices now. */
+    /** Whether this controller may act for its shards now; where not, it gives them up. */
     private boolean hasLease() {
         if (clock.nowMs() - leasedSinceMs < leaseMs * OWNER_LEASE_FRACTION) {
             return true;
         }
         if (owners.values().stream().anyMatch(this::isOwn)) {
-            // Others may have them from now on. What this helm asks for next is a lease of another name.
+            // Others may own them from now on. The next request is for a lease with a new id.
             owners.values().removeIf(this::isOwn);
             startNewLease();
             isLeaseLost = true;
@@ -148,7 +157,7 @@
         hasLease();
         if (clock.nowMs() - requestedAtMs >= leaseMs * REQUESTED_LEASES
                 || replicatedState.voterSinceIndexes().isEmpty()) {
-            // Nobody asks for tokens: a fleet without limits pays nothing for them.
+            // No requests for tokens: a system without rate limits pays nothing for them.
             return;
         }
         long sentAtMs = clock.nowMs();
@@ -192,7 +201,7 @@
         String holder = request.path("holder").asText();
         long nowMs = clock.nowMs();
         if (nowMs - Math.max(startedAtMs, voterSinceMs) < leaseMs * BARRED_LEASES) {
-            // What an earlier life of this process, or the voters before it, granted or promised is not known here.
+            // What an earlier run of this process or earlier voters granted or promised is not known here.
             return false;
         }
         if (kind.equals("lease/renew")) {
@@ -209,7 +218,7 @@
         return true;
     }
 
-    /** Serves the leases' messages; false where the kind is another's. */
+    /** Answers the peer messages of leases; returns false, without a call of the callback, for other kinds. */
     public boolean handleRequest(String kind, JsonNode request, Consumer<ObjectNode> callback) {
         if (!kind.startsWith("lease/")) {
             return false;
@@ -220,41 +229,41 @@
         return true;
     }
 
-    // ---- owners
+    // ---- ownership
 
-    /** The fence under which this helm owns the slice and may act for it now, or -1. */
+    /** The fencing token with which this controller owns the shard and may act for it now, or -1. */
     public long fencingToken(String shard) {
         ShardOwner owner = owners.get(shard);
         return owner != null && isOwn(owner) && hasLease() && isOwn(owner) ? owner.fencingToken : -1;
     }
 
-    /** Whom to ask for the slice instead, as far as that is known; null where this helm should take it. */
+    /** The peer address of the shard's known owner; null where this controller should acquire it. */
     public String ownerOf(String shard) {
         ShardOwner owner = owners.get(shard);
         return owner == null || owner.peer.equals(peer) || isSilent(owner.peer) ? null : owner.peer;
     }
 
-    /** A voter knows who still asks for leases. */
+    /** Whether the controller has requested no lease from this voter for the duration of one. */
     private boolean isSilent(String holder) {
         return clock.nowMs() - grantedAtMs.getOrDefault(holder, startedAtMs) >= leaseMs;
     }
 
-    /** Slices owned here. */
+    /** Number of shards owned here. */
     public int ownedCount() {
         return (int) owners.values().stream().filter(this::isOwn).count();
     }
 
-    /** Numbers the times that this process took the slice from somebody else; what it granted since then it knows. */
+    /** Counts the acquisitions of the shard from another owner; what was granted within a term is known here. */
     public long ownershipTerm(String shard) {
         return ownershipTerms.getOrDefault(shard, 0L);
     }
 
-    /** Whether nobody granted anything of this slice before this term. */
+    /** Whether no owner granted tokens of this shard before the present term. */
     public boolean isFirstOwnership(String shard) {
         return firstOwnerships.contains(shard + " " + ownershipTerm(shard));
     }
 
-    /** Whoever was thought to own the slice does not: the register is read again. */
+    /** The supposed owner is not the owner: the register is read again. */
     public void onWrongOwner(String shard) {
         ShardOwner owner = owners.get(shard);
         if (owner != null && !isOwn(owner)) {
@@ -263,7 +272,7 @@
         acquire(shard);
     }
 
-    /** Somebody asks for tokens here. */
+    /** Notes a request for tokens, so that the lease is renewed. */
     public void markRequested() {
         boolean isFirstRequest = clock.nowMs() - requestedAtMs >= leaseMs * REQUESTED_LEASES;
         requestedAtMs = clock.nowMs();
@@ -272,7 +281,7 @@
         }
     }
 
-    /** Finds out who owns a slice, and takes it where nobody does or its owner is silent. */
+    /** Reads the shard's owner from its register, and takes the shard over where it has none or a silent one. */
     public void acquire(String shard) {
         if (!hasLease() || !acquiringShards.add(shard)) {
             return;
@@ -288,7 +297,7 @@
             if (owner == null) {
                 takeOver(shard, null, currentValue);
             } else if (owner.peer.equals(peer)) {
-                // An earlier life's, or one of this process that has run out: that it is over nobody knows better.
+                // A lease of an earlier run, or an expired one of this process: known here to be over.
                 takeOver(shard, owner, owner.encoded);
             } else {
                 owners.put(shard, owner);
@@ -318,8 +327,9 @@
                     } else if (!voterSet.hasMajority(member -> !refused.contains(member))) {
                         isDecided[0] = true;
                         acquiringShards.remove(shard);
-                        // A voter has heard it: it is not silent, only not here. Barring it again and again would keep
-                        // it so.
+                        // Another voter has granted it a lease: it is not silent, only not reachable from here.
+                        // Repeated
+                        // bars would keep it from its lease.
                         barredUntilMs.remove(owner.peer);
                         grantedAtMs.put(owner.peer, clock.nowMs());
                     }
@@ -327,7 +337,7 @@
     }
 
     private void takeOver(String shard, ShardOwner previousOwner, String expectedValue) {
-        // Where the register has been forgotten the fence still has to rise.
+        // The fencing token has to rise even where the register has expired.
         ShardOwner newOwner = ShardOwner.decode(peer + " " + leaseId + " "
                 + (previousOwner == null ? clock.wallTimeMs() : previousOwner.fencingToken + 1));
         registerProposer.compareAndSet(registerId(shard), newOwner.encoded, expectedValue, leaseMs, result -> {
@@ -347,7 +357,7 @@
         });
     }
 
-    /** Registers are forgotten in time; those of slices that are owned are written anew before. */
+    /** Registers expire; those of owned shards are rewritten before. */
     private void refreshOwned() {
         for (String shard : new ArrayList<>(owners.keySet())) {
             ShardOwner owner = owners.get(shard);
--- a/src/main/java/bramblespool/coordination/tenancy/TenantRateLimiter.java
+++ b/src/main/java/bramblespool/coordination/tenancy/TenantRateLimiter.java
@@ -5,27 +5,23 @@
 import java.util.Map;
 
 /**
- * Handing out the tokens of the slices that are owned here: one bucket for each tenant, whole, with the slice's one owner.
- * A token is used at once by the side that asked for it, so what is sent and runs within a window was granted in that window,
- * and the bucket alone keeps the rule. A new owner, or a new life of one, does not know what was granted before it and starts with an empty
- * bucket; by then the other's lease has run out.
+ * Grants the rate-limit tokens of the shards that are owned here: one token bucket for each tenant, at the shard's
+ * owner. A proxy uses a token at once, so what is executed within a window was granted in that window, and the bucket
+ * alone keeps the rule. A new owner, or a restarted one, does not know what was granted before and starts with an empty
+ * bucket; by then its predecessor's lease has expired. Confined to the event loop.
  */
 public final class TenantRateLimiter {
     /**
-     * Of what the rule allows beyond the limit, a part is granted by the owner, so that a limit is reached in full, and a
-     * part by the other voters together, one share each, while there is no owner.
+     * Fraction of the rule's allowance beyond the limit that the owner grants, so that the limit is reached in full.
      */
     private static final double OWNER_SHARE = 0.2;
-
+    /** Fraction of that allowance that all voters together grant, one share each, while there is no owner. */
     private static final double FALLBACK_SHARE = 0.75;
-    /**
-     * A side that was denied a token asks for that tenant again after a part of the window: this where denials are few, and
-     * up to as much more as the second says where they are all there is.
-     */
+    /** After a denial a proxy waits at least the window divided by this before it asks again for the tenant. */
     private static final int MIN_WAIT_DIVISOR = 100;
-
+    /** It waits longer in proportion to the ratio of denials, by up to the window divided by this. */
     private static final int MAX_WAIT_DIVISOR = 8;
-    /** How much one answer weighs in the share of denials. */
+    /** Weight of one answer in the moving average of the ratio of denials. */
     private static final double DENIAL_SMOOTHING = 0.05;
 
     private static final class TokenBucket {
@@ -47,6 +43,11 @@
     private final Map<String, TokenBucket> buckets = new HashMap<>();
     private final Map<String, TokenBucket> fallbackBuckets = new HashMap<>();
 
+    /**
+     * @param windowMs the rule's window
+     * @param excessRatio how far the rule allows the limit to be exceeded, as a ratio of it
+     * @param burstAllowance tokens that the rule allows in a window besides
+     */
     public TenantRateLimiter(Clock clock, long windowMs, double excessRatio, double burstAllowance) {
         this.clock = clock;
         this.windowMs = windowMs;
@@ -56,9 +57,11 @@
     }
 
     /**
-     * Takes a token for a tenant in this term of owning its slice: 0 where it is granted, else in how many milliseconds to ask
-     * again. The limit is that of the newest version anybody has asked under. {@code fresh}: nobody granted
-     * anything of the slice before.
+     * Takes a token for a tenant in this term of owning its shard. The limit is that of the newest version under which
+     * a proxy has asked.
+     *
+     * @param isFirstOwner whether no owner granted tokens of the shard before this term
+     * @return 0 where the token is granted, else after how many milliseconds to ask again
      */
     public long takeToken(
             String tenant, long ownershipTerm, boolean isFirstOwner, long epoch, double ratePerS, double burst) {
@@ -86,15 +89,18 @@
             return 0;
         }
         bucket.deniedCount++;
-        // The further a tenant is over its limit, the longer each side answers for itself: one tenant's excess must not
-        // be the owner's whole work.
+        // The further a tenant is over its limit, the longer each proxy rejects its requests by itself: one tenant's
+        // excess
+        // must not take up the owner.
         long waitMs = windowMs / MIN_WAIT_DIVISOR + (long) (bucket.denialRatio * windowMs / MAX_WAIT_DIVISOR);
         return (long) (waitMs * (0.75 + clock.random() / 2));
     }
 
     /**
-     * Takes a token where there is no owner to ask: one of this voter's share, which is filled again once in each window.
-     * What is saved up and what comes in a window are half of the share each, so no window sees more than the share.
+     * Takes a token of this voter's share, where the shard has no owner to ask. The bucket holds half of the share and
+     * gains half of it in a window, so no window has more than the share.
+     *
+     * @param shareCount the number of voters
      */
     public boolean takeFallbackToken(String tenant, int shareCount, double ratePerS, double burst) {
         long nowMs = clock.nowMs();
@@ -121,7 +127,7 @@
         return Math.max(1, bucket.burst + burstAllowance * OWNER_SHARE);
     }
 
-    /** How often tenants were over their limit here. */
+    /** How many tokens were denied here, by tenant; tenants without a denial are left out. */
     public Map<String, Long> deniedCounts() {
         Map<String, Long> counts = new HashMap<>();
         buckets.forEach((tenant, bucket) -> {
--- a/src/main/java/bramblespool/coordination/traffic/LatencyBaseline.java
+++ b/src/main/java/bramblespool/coordination/traffic/LatencyBaseline.java
@@ -3,23 +3,23 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 
 /**
- * How a server's pace compares with its own usual one, route by route, so that neither a slow kind of request nor a
- * slow machine counts as trouble, but a server that turns slow does. Without new requests it is forgotten by half in
- * each span, so that the server is tried again.
+ * Compares a server's latency with its own usual latency, route by route, so that neither a slow kind of request nor a
+ * slow machine counts as an anomaly, but a server that becomes slow does. Without new requests the deviation decays
+ * with a half-life, so that the server is tried again. Confined to the event loop.
  */
 final class LatencyBaseline {
-    /** How much one request weighs in what is usual, and in how it stands now. */
+    /** Weight of one request in the moving average of the usual latency of its route. */
     private static final double BASELINE_EWMA_WEIGHT = 0.05;
-
+    /** Weight of one request in the moving average of the present ratio. */
     private static final double CURRENT_EWMA_WEIGHT = 0.25;
-    /** While it is slow, what is usual is hardly changed by it. */
+    /** Weight in the usual latency while the server is slow, so that slowness does not become the baseline. */
     private static final double BASELINE_EWMA_WEIGHT_WHEN_SLOW = 0.005;
-    /** So many times its usual work make each step; it is left again below this part of that. */
+    /** Ratios of present to usual latency from which the slowness levels 1 and 2 hold. */
     private static final double[] SLOWNESS_THRESHOLDS = {2, 3.5};
-
+    /** A level is left below this fraction of its threshold. */
     private static final double HYSTERESIS_FACTOR = 0.7;
 
-    /** For this part of that span nothing is forgotten. */
+    /** Fraction of the half-life after a request in which nothing decays. */
     private static final double NO_DECAY_SPANS = 0.25;
 
     private final long halfLifeMs;
@@ -31,12 +31,13 @@
         this.halfLifeMs = halfLifeMs;
     }
 
+    /** Forgets everything, for another server. */
     void reset() {
         baselineByRoute.clear();
         latencyRatio = 1;
     }
 
-    /** A request of the route worked so long. */
+    /** Records how long a request of the route took. */
     void recordLatency(String route, long latencyMs, long nowMs) {
         double baselineMs = baselineByRoute.getOrDefault(route, -1);
         if (baselineMs < 0) {
@@ -60,7 +61,7 @@
                         * Math.pow(0.5, Math.max(0, (double) (nowMs - updatedAtMs) / halfLifeMs - NO_DECAY_SPANS));
     }
 
-    /** The step it is on, given the one that was last told. */
+    /** The slowness level, 0 to 2; the previously reported one decides on the hysteresis. */
     int slownessLevel(long nowMs, int previousLevel) {
         double currentRatio = decayedRatio(nowMs);
         int level = 0;
--- a/src/main/java/bramblespool/coordination/traffic/OverloadDetector.java
+++ b/src/main/java/bramblespool/coordination/traffic/OverloadDetector.java
@@ -5,9 +5,9 @@
 import bramblespool.transport.Clock;
 
 /**
- * Whether this daemon keeps up: how late its own timers come tells how much work lies before each new piece. One that
- * does not keep up lets comparisons of news wait, its own and those it is asked for; votes, heartbeats, renewals and
- * decisions are never left out.
+ * Detects overload of this process by the lateness of its own timers, which shows how much work is queued on the event
+ * loop. An overloaded controller postpones gossip comparisons, its own and those it is asked for; votes, heartbeats,
+ * renewals and configuration decisions are never postponed. Confined to the event loop.
  */
 public final class OverloadDetector {
     private final Clock clock;
@@ -18,7 +18,10 @@
     private long latenessMs;
     private boolean isOverloaded;
 
-    /** {@code mostMs}: lateness from which it counts as not keeping up; it does again below a quarter of that. */
+    /**
+     * {@code thresholdMs}: lateness from which the process counts as overloaded; it no longer does below a quarter of
+     * that.
+     */
     public OverloadDetector(Clock clock, long thresholdMs, EventLog log) {
         this.clock = clock;
         this.checkIntervalMs = Math.max(1, thresholdMs / 2);
@@ -26,13 +29,14 @@
         this.log = log;
     }
 
+    /** Starts to measure, until the event loop ends. */
     public void start() {
         dueMs = clock.nowMs() + checkIntervalMs;
         clock.schedule(checkIntervalMs, this::measure);
     }
 
     private void measure() {
-        // The worst of late fades, so that one quiet moment does not end it.
+        // The recent maximum decays, so that one quiet moment does not end an overload.
         latenessMs = Math.max(clock.nowMs() - dueMs, latenessMs * 3 / 4);
         if (!isOverloaded && latenessMs >= thresholdMs) {
             isOverloaded = true;
@@ -44,11 +48,12 @@
         start();
     }
 
+    /** Whether the process is overloaded. */
     public boolean isOverloaded() {
         return isOverloaded;
     }
 
-    /** By how many milliseconds its timers have lately come late. */
+    /** The decaying maximum of the timers' lateness, in milliseconds. */
     public long latenessMs() {
         return latenessMs;
     }
--- a/src/main/java/bramblespool/coordination/traffic/RetryBudget.java
+++ b/src/main/java/bramblespool/coordination/traffic/RetryBudget.java
@@ -8,16 +8,19 @@
 import java.util.Set;
 
 /**
- * What this daemon may spend on further tries, per service. Each request earns a share of one; what is saved up is
- * bounded so that the sum over all daemons keeps the rule in every window without a word between them. With so many
- * daemons that a part of the slack is under one try, nothing is saved; whole tries are leased from its owner.
+ * A proxy's budget of retries, for each service. Each request earns a fraction of a retry; the balance is bounded so
+ * that the sum over all proxies keeps the rule in every window without communication. With so many proxies that each
+ * one's share of the allowance is below one retry, nothing is saved up, and whole retries are leased from the owner of
+ * {@link RetryBudgetLeases}. Source: RULES-bramblespool.md, "Further tries". Confined to the event loop.
  */
 public final class RetryBudget {
-    /** The rest of the ratio and of the slack is left for the calls that repeated runs make in their turn. */
+    /**
+     * Fraction of the rule's ratio that is earned; the rest is left for the calls that retried requests make in turn.
+     */
     private static final double RATIO_SHARE = 0.5;
-
+    /** Fraction of this proxy's share of the allowance that may be saved up. */
     private static final double RESERVE_SHARE = 0.3;
-    /** Up to this share of the slack may be saved up as one whole try each. */
+    /** Fraction of the share that has to be at least one retry; otherwise nothing is saved up. */
     private static final double WHOLE_RETRY_SHARE = 0.45;
 
     private record Lease(int retries, long expiresMs) {}
@@ -29,13 +32,17 @@
     private final Map<String, ArrayDeque<Lease>> leases = new HashMap<>();
     private final Set<String> exhaustedServices = new LinkedHashSet<>();
 
+    /**
+     * @param ratio retries allowed for each request, as the rule gives it
+     * @param reserve retries allowed in a window besides, over all proxies
+     */
     public RetryBudget(double ratio, double reserve) {
         this.ratio = ratio;
         this.reserve = reserve;
         balances.defaultReturnValue(-1);
     }
 
-    /** How many daemons share the slack. */
+    /** Sets how many proxies share the allowance; never decreases. */
     public void setProxyCount(int count) {
         proxyCount = Math.max(proxyCount, count);
     }
@@ -50,20 +57,21 @@
         return savedBalance < 0 ? Math.min(1, balanceLimit()) : Math.min(savedBalance, balanceLimit());
     }
 
+    /** Earns a fraction of a retry for a first attempt. */
     public void onRequest(String service) {
         balances.put(service, Math.min(Math.max(1, balanceLimit()), balance(service) + ratio * RATIO_SHARE));
     }
 
-    /** Whether there is a further try to take. */
+    /** Whether a retry is available; otherwise the service is noted as exhausted. */
     public boolean hasRetry(String service, long nowMs) {
-        if (balance(service) >= 1 || leased(service, nowMs)) {
+        if (balance(service) >= 1 || hasLease(service, nowMs)) {
             return true;
         }
         exhaustedServices.add(service);
         return false;
     }
 
-    /** Takes one further try if there is one. */
+    /** Takes one retry if one is available. */
     public boolean tryAcquire(String service, long nowMs) {
         if (!hasRetry(service, nowMs)) {
             return false;
@@ -80,7 +88,7 @@
         return true;
     }
 
-    private boolean leased(String service, long nowMs) {
+    private boolean hasLease(String service, long nowMs) {
         ArrayDeque<Lease> serviceLeases = leases.get(service);
         if (serviceLeases == null) {
             return false;
@@ -89,14 +97,14 @@
         return !serviceLeases.isEmpty();
     }
 
-    /** Tries leased from the owner of the service's slack, good until then. */
-    public void leased(String service, int retries, long expiresMs) {
+    /** Adds retries leased from the owner of the service's allowance, valid until {@code expiresMs}. */
+    public void addLease(String service, int retries, long expiresMs) {
         if (retries > 0) {
             leases.computeIfAbsent(service, s -> new ArrayDeque<>()).add(new Lease(retries, expiresMs));
         }
     }
 
-    /** The services that lacked a further try since this was last asked. */
+    /** The services that lacked a retry since the last call. */
     public Set<String> takeExhaustedServices() {
         Set<String> services = new LinkedHashSet<>(exhaustedServices);
         exhaustedServices.clear();
--- a/src/main/java/bramblespool/coordination/traffic/RetryBudgetLeases.java
+++ b/src/main/java/bramblespool/coordination/traffic/RetryBudgetLeases.java
@@ -6,12 +6,15 @@
 import java.util.Map;
 
 /**
- * The duty of leasing out a service's retry slack in whole tries. No more is granted in any span of a window and a
- * lease's life than the leased part of the slack, so that no window of the rule sees more used. A new owner does not
- * know what its predecessor granted and waits until nothing of that can be left.
+ * The singleton role that leases out a service's retry allowance in whole retries. In any period of a window and a
+ * lease's duration it grants no more than the leased part of the allowance, so that no window of the rule has more
+ * retries. A new owner does not know what its predecessor granted and waits until all of that has expired. Confined to
+ * the event loop.
  */
 public final class RetryBudgetLeases {
-    /** The part of the slack that is leased; the rest is saved up by the daemons, or left for calls of repeated runs. */
+    /**
+     * Fraction of the allowance that is leased; the rest is saved up by proxies or left for calls of retried requests.
+     */
     private static final double LEASED_SHARE = 0.25;
 
     private static final int MAX_RETRIES_PER_GRANT = 2;
@@ -36,6 +39,10 @@
     private final long accountingWindowMs;
     private final Map<String, ServiceLeases> leasesByService = new HashMap<>();
 
+    /**
+     * @param reserve retries allowed in a window over all proxies
+     * @param windowMs the rule's window
+     */
     public RetryBudgetLeases(Clock clock, double reserve, long windowMs) {
         this.clock = clock;
         this.maxLeasedRetries = (int) (reserve * LEASED_SHARE);
@@ -43,11 +50,12 @@
         this.accountingWindowMs = windowMs + leaseDurationMs;
     }
 
+    /** How long a granted retry is valid. */
     public long leaseDurationMs() {
         return leaseDurationMs;
     }
 
-    /** Grants tries of a service under the duty's fence; 0 where there are none left for now. */
+    /** Grants retries of a service under the role's fencing token; 0 where none is available now. */
     public int grant(String service, long fencingToken) {
         long nowMs = clock.nowMs();
         ServiceLeases leases = leasesByService.get(service);
--- a/src/main/java/bramblespool/coordination/traffic/ServerAdmission.java
+++ b/src/main/java/bramblespool/coordination/traffic/ServerAdmission.java
@@ -17,16 +17,27 @@
 import java.util.function.Consumer;
 
 /**
- * The one gate to this machine's server: identity, capacity, warm-up, draining, evacuation. A refusal here is no
- * arrival at the server, and a promise that the request has not run.
+ * Admission of requests to one server: its identity, capacity, slow start, draining and evacuation, a queue with
+ * deadlines, and detection of failures and slowness. A request that is rejected here has not reached the server and has
+ * not been executed. Source: PROTOCOL-bramblespool.md, "Servers". Confined to the event loop.
  */
 public final class ServerAdmission {
-    /** Why a request was not let through, and when to come back. */
+    /**
+     * A rejected request.
+     *
+     * @param reason sent to the calling proxy, which compares some of the values
+     * @param retryAfterMs when to try again; 0 where nothing is known
+     */
     public record Rejection(String reason, long retryAfterMs) {}
 
     /**
-     * Figures of the rules, as the settings give them. {@code beat} is 0 where servers send none but stand on a list;
-     * {@code serveOn}: how long a draining server is still sent to, until callers have learned of it.
+     * Parameters from the settings.
+     *
+     * @param heartbeatIntervalMs 0 where servers send no heartbeats but are known from the registry
+     * @param drainGraceMs how long requests are still admitted to a draining server, until callers have learned of it
+     * @param drainTimeoutMs the rule's limit for requests to a draining server
+     * @param slowStartExcessFactor factor on the slow-start rate that the rule allows
+     * @param slowStartAllowance requests in a second that the rule allows besides
      */
     public record AdmissionSettings(
             long heartbeatIntervalMs,
@@ -34,7 +45,7 @@
             long drainTimeoutMs,
             double slowStartExcessFactor,
             double slowStartAllowance) {
-        /** For a server that beats to the daemon beside it. */
+        /** For a server that sends heartbeats to its sidecar. */
         public static AdmissionSettings forHeartbeats(Settings settings) {
             Settings.Bounds bounds = settings.bounds();
             return new AdmissionSettings(
@@ -45,7 +56,7 @@
                     bounds.slowStartAllowance());
         }
 
-        /** For a server known from a list: what the list shows is late already. */
+        /** For a server known from the registry, which shows changes late already: without a drain grace. */
         public static AdmissionSettings forRegistry(Settings settings) {
             Settings.Bounds bounds = settings.bounds();
             return new AdmissionSettings(0, 0, bounds.drainMs(), bounds.slowStartExcess(), bounds.slowStartAllowance());
@@ -55,16 +66,19 @@
             return heartbeatIntervalMs > 0;
         }
 
-        /** When to look again after a server that is not there. */
+        /** When a caller should try again while there is no server. */
         private long recheckDelayMs() {
             return expectsHeartbeats() ? heartbeatIntervalMs / 3 : drainTimeoutMs / 12;
         }
     }
 
-    /** One request at the gate. */
+    /** One request: queued, running or ended. */
     public final class AdmissionTicket {
         private final String route;
-        /** When its turn comes: a step of rank is worth a part of its aim, so that no rank starves another for good. */
+        /**
+         * Order in the queue: a step of rank counts as a fraction of the latency target, so that no rank starves
+         * another.
+         */
         private final long queueOrderMs;
 
         private final Runnable onAdmitted;
@@ -80,12 +94,12 @@
             this.onRejected = onRejected;
         }
 
-        /** The id of the server it was let through to. */
+        /** The id of the server it was admitted to; null before that and after its release. */
         public String serverId() {
             return serverId;
         }
 
-        /** Frees the slot; {@code worked} where the time it took tells how long such requests work. */
+        /** Frees the slot; {@code countsLatency} where the time it took is a sample of its route's latency. */
         public void release(boolean countsLatency) {
             if (serverId == null) {
                 return;
@@ -101,7 +115,7 @@
             dispatchQueue();
         }
 
-        /** Tells how the server dealt with it. */
+        /** Records whether the server succeeded, for its failure rate; to be called before {@link #release}. */
         public void recordOutcome(boolean isSuccess) {
             if (serverId != null && serverId.equals(currentServerId)) {
                 updateFailureRate(isSuccess);
@@ -116,30 +130,30 @@
         }
     }
 
-    /** Queue at most this many times the capacity: beyond it no deadline in use could be kept. */
+    /** Limit of the queue as a multiple of the capacity: beyond it no deadline in use could be met. */
     private static final int MAX_QUEUED_PER_SLOT = 4;
-    /** Share of a cold server's hard bound that is used, so that a late arrival never crosses it. */
+    /** Fraction of the rule's slow-start limit that is used, so that a delayed arrival never exceeds the limit. */
     private static final double SLOW_START_LIMIT_SHARE = 0.92;
-    /** A step of rank is worth this part of a request's aim in waiting. */
+    /** A step of rank counts as the latency target divided by this. */
     private static final int RANK_STEP_DIVISOR = 4;
-    /** A request whose work alone takes longer than its aim may still wait this part of its work. */
+    /** A request whose expected latency exceeds its target may still take this multiple of the expected latency. */
     private static final double MIN_WAIT_FACTOR = 1.1;
-    /** Mean deviations above the mean within which a request is counted on to be done. */
+    /** Mean deviations above the mean that make up the expected latency. */
     private static final double LATENCY_DEVIATIONS = 1.5;
 
     private static final long SECOND_MS = 1000;
-    /** How much one outcome weighs in a server's illness. */
+    /** Weight of one outcome in the failure rate. */
     private static final double OUTCOME_EWMA_WEIGHT = 0.15;
-    /** Steps in which illness is told: one failure among many sound answers stays below the first. */
+    /** Steps in which the failure rate is announced: one failure among many successes stays below the first. */
     private static final int FAILURE_RATE_STEPS = 5;
 
     private static final double LATENCY_EWMA_WEIGHT = 0.1;
     private static final double INITIAL_LATENCY_MS = 100;
-    /** After so many beats' time without one the server may have gone cold unnoticed. */
+    /** Heartbeat intervals without one after which the server may be in slow start unnoticed. */
     private static final double UNCERTAIN_AFTER_HEARTBEATS = 1.5;
-    /** A server at most this much older than this process was not there in the last one's time: no start is quicker. */
+    /** A server at most this much older than this process was not running at the time of its predecessor. */
     private static final long START_TIME_TOLERANCE_MS = 200;
-    /** Beats missed before the server is taken for silent. */
+    /** Heartbeat intervals without one after which the server counts as unreachable. */
     private static final double UNREACHABLE_AFTER_HEARTBEATS = 2.4;
 
     private final Clock clock;
@@ -163,9 +177,9 @@
     private long lastHeartbeatMs;
     private long lastCallSequence = -1;
     private int runningRequests;
-    /** Lives that will never be heard of again: they have left, or said that they are about to. */
+    /** Ids of servers that have left, or were draining when another one replaced them. */
     private final Set<String> endedServerIds = new HashSet<>();
-    /** Lives that another one has followed, each with its last {@code callSeq}. */
+    /** Ids of servers that another one has replaced, each with its last {@code callSeq}. */
     private final Map<String, Long> supersededServers = new HashMap<>();
 
     private final List<AdmissionTicket> queue = new ArrayList<>();
@@ -180,6 +194,11 @@
     private int reportedSlownessLevel;
     private Clock.Timer slowStartTimer;
 
+    /**
+     * @param address where the server is reached
+     * @param target its service
+     * @param onChange runs after a change of what is announced of this server
+     */
     public ServerAdmission(
             Clock clock,
             AdmissionSettings admissionSettings,
@@ -198,9 +217,9 @@
         meanLatencyByRoute.defaultReturnValue(-1);
     }
 
-    // ---- what the server says
+    // ---- information about the server
 
-    /** Takes a beat; null where it is acknowledged, else what is wrong with it. */
+    /** Takes a heartbeat; returns null where it is acknowledged, else its fault. */
     public String onHeartbeat(Heartbeat heartbeat) {
         if (!heartbeat.target().equals(target)) {
             return "target: this machine's server is of " + target;
@@ -253,7 +272,7 @@
         warmingUpUntilMs = heartbeat.warmupLeftMs() > 0 ? nowMs + heartbeat.warmupLeftMs() : 0;
         if (heartbeat.isDraining() && !isDraining) {
             isDraining = true;
-            // One that is draining at the first word may have been acknowledged by an earlier life of this process.
+            // One that is draining at its first heartbeat may have been acknowledged by an earlier run of this process.
             drainingSinceMs = isNewServer ? nowMs - admissionSettings.drainTimeoutMs : nowMs;
             log.log(Event.SERVER_DRAINING, "server", currentServerId);
         }
@@ -265,8 +284,9 @@
     }
 
     /**
-     * Whether it is a late word of a life that another one has followed. After a restart of this process the order of
-     * lives is not known, and it may be the other one that was late: that one does not answer, and this one goes on.
+     * Whether the heartbeat is a delayed one of a server that another one has replaced. After a restart of this process
+     * the order of servers is not known, and the delayed heartbeat may have been the other one's: where that server is
+     * unreachable, this one is accepted.
      */
     private boolean isLate(Heartbeat heartbeat) {
         Long lastSequence = supersededServers.get(heartbeat.id());
@@ -281,7 +301,7 @@
         return !isUnreachable || heartbeat.callSequence() <= lastSequence;
     }
 
-    /** Takes the word of the platform's list, which knows this server by the id the gate was made for. */
+    /** Takes the registry's entry of this server. */
     public void onRegistryEntry(String listedServerId, int newCapacity, boolean shouldDrain, long warmupLeftMs) {
         boolean isNewServer = currentServerId == null;
         boolean hasChanged = isNewServer || shouldDrain && !isDraining || newCapacity != capacity;
@@ -301,7 +321,7 @@
         }
     }
 
-    /** The list shows that it is about to end; whoever says so, it is never taken back. */
+    /** Marks the server as draining, which is never undone. */
     public void markDraining() {
         if (!isDraining) {
             isDraining = true;
@@ -312,7 +332,7 @@
         }
     }
 
-    /** No longer this daemon's: nothing more goes there, and what waits is refused. */
+    /** Ends admission to this server: queued requests are rejected. */
     public void close() {
         if (currentServerId != null) {
             endedServerIds.add(currentServerId);
@@ -322,7 +342,7 @@
         }
     }
 
-    /** Takes the word of a probe where no beat has come since this process started. */
+    /** Takes the answer to a health check, where no heartbeat has come since this process started. */
     public void onHealthCheck(String checkedServerId, int newCapacity, long warmupLeftMs) {
         if (currentServerId != null || endedServerIds.contains(checkedServerId)) {
             return;
@@ -346,6 +366,7 @@
         onChange.run();
     }
 
+    /** The server has deregistered. */
     public void onServerLeft(String leavingServerId) {
         supersededServers.remove(leavingServerId);
         endedServerIds.add(leavingServerId);
@@ -354,7 +375,7 @@
         }
     }
 
-    /** Its port refused or stayed silent: nothing more goes there until it beats again. */
+    /** A connection to the server failed: no more requests are admitted until its next heartbeat. */
     public void markUnreachable(String unreachableServerId) {
         if (unreachableServerId.equals(currentServerId) && !isUnreachable) {
             takeOutOfService(Event.SERVER_UNRESPONSIVE);
@@ -372,7 +393,7 @@
         rejectQueued();
     }
 
-    /** The share of requests that it fails, of late; forgotten by half in each {@code drain} without one. */
+    /** The failure rate, decayed with a half-life of {@code drain}. */
     private double decayedFailureRate() {
         return failureRate
                 * Math.pow(0.5, (double) (clock.nowMs() - failureRateAtMs) / admissionSettings.drainTimeoutMs);
@@ -394,23 +415,26 @@
         }
     }
 
-    /** Illness as others are told, from 0 to 1. Health answers may lie and have no part in it. */
+    /**
+     * The announced failure rate, 0 to 1, in steps. It is derived from requests only, because health checks may be
+     * wrong.
+     */
     public double reportedFailureRate() {
         return (double) reportedFailureStep / FAILURE_RATE_STEPS;
     }
 
-    /** How much slower it has become than it usually is, in steps as others are told: 0 not, 1 some times, 2 many times. */
+    /** The announced slowness level: 0 to 2, see {@link LatencyBaseline}. */
     public int slownessLevel() {
         return reportedSlownessLevel;
     }
 
-    /** What its illness and slowness are worth in load of itself: at these gates and at those who choose among them. */
+    /** The cost of its failures and slowness as utilization, the same as for callers that choose an endpoint. */
     double outlierCost() {
         return reportedFailureRate() * EndpointDirectory.FAILURE_COST
                 + reportedSlownessLevel * EndpointDirectory.SLOWNESS_COST;
     }
 
-    /** To be called now and then. */
+    /** Detects a silent server and publishes changes of health; to be called periodically. */
     public void check() {
         long nowMs = clock.nowMs();
         publishHealth();
@@ -422,21 +446,22 @@
         } else if (isUnreachable
                 && !admissionSettings.expectsHeartbeats()
                 && nowMs - unreachableSinceMs > admissionSettings.drainTimeoutMs / 4) {
-            // Nobody will say that it is back: the next request finds out.
+            // Nothing will announce that it is back: the next request finds out.
             isUnreachable = false;
             isStateUncertain = false;
             onChange.run();
         }
     }
 
-    /** This process itself stood still: what the server said before may no longer be true. */
+    /** The process was paused: what the server announced before may be out of date. */
     public void onProcessPaused() {
         isStateUncertain = true;
     }
 
+    /** Sets whether the zone is evacuated; queued requests are rejected. */
     public void setEvacuated(boolean evacuated) {
         if (isEvacuated && !evacuated) {
-            // It may have gone cold meanwhile: the next beat tells.
+            // It may have gone into slow start meanwhile, which the next heartbeat shows.
             isStateUncertain = true;
         }
         isEvacuated = evacuated;
@@ -445,39 +470,45 @@
         }
     }
 
+    /** Sets the service's slow start: requests a second, 0 for no limit, and its duration. */
     public void configureSlowStart(double ratePerSecond, long durationMs) {
         slowStartRatePerSecond = ratePerSecond;
         warmupMs = durationMs;
     }
 
-    // ---- what others may know
+    // ---- announced state
 
+    /** The id of the present server; null where none is known. */
     public String serverId() {
         return currentServerId;
     }
 
-    /** Whether callers should send here at all. */
+    /** Whether the server is known, reachable and not draining. */
     public boolean isAccepting() {
         return currentServerId != null && !isUnreachable && !isDraining;
     }
 
+    /** Requests that the server runs at the same time. */
     public int capacity() {
         return capacity;
     }
 
+    /** The server's service. */
     public String target() {
         return target;
     }
 
-    /** Where the server is reached. */
+    /** The server's address. */
     public String address() {
         return address;
     }
 
+    /** Running and queued requests. */
     public int load() {
         return runningRequests + queue.size();
     }
 
+    /** Remaining time of slow start; a heartbeat interval where its state is uncertain. */
     public long warmupLeftMs() {
         long nowMs = clock.nowMs();
         return isStateUncertain && admissionSettings.expectsHeartbeats()
@@ -494,8 +525,8 @@
     }
 
     /**
-     * Whether an earlier process here may have sent to this cold server within the last second: it did if the server
-     * is older than this process, and nobody remembers how much.
+     * Whether this process's predecessor may have sent requests to this server in slow start within the last second: it
+     * may where the server is older than this process, and the number is not known.
      */
     private boolean mayHaveEarlierStarts(long nowMs) {
         long serverAgeMs = isStateUncertain ? Long.MAX_VALUE : warmupMs - (warmingUpUntilMs - nowMs);
@@ -510,7 +541,7 @@
         return (long) (meanLatencyMs * (queue.size() + 1) / Math.max(1, capacity));
     }
 
-    /** Whether a request would rather come here than to the other gate of the same service. */
+    /** Whether a request should be sent here rather than to the other server of the same service. */
     boolean precedes(ServerAdmission other) {
         if (isAccepting() != other.isAccepting()) {
             return isAccepting();
@@ -520,7 +551,14 @@
 
     // ---- requests
 
-    /** Lets a request through, queues it, or refuses it at once. */
+    /**
+     * Admits a request, queues it, or rejects it at once. Exactly one of the callbacks runs, possibly before this
+     * returns, unless the request is still queued at the event loop's end.
+     *
+     * @param rank the request's rank; a lower one goes first
+     * @param latencyTargetMs the route's latency target; 0 where it has none
+     * @param deadlineMs on the event loop's clock
+     */
     public AdmissionTicket admit(
             String route,
             int rank,
@@ -550,8 +588,9 @@
                 ? SECOND_MS / slowStartRatePerSecond
                 : meanLatencyMs / Math.max(1, capacity);
         double waitMs = (queuePosition + 0.5) * msPerStart;
-        // What would be too late for its aim is better tried elsewhere, or a little later, than kept: a queue that
-        // grows to the deadlines makes everybody late and serves not one request more.
+        // A request that would miss its latency target is better tried elsewhere, or later, than queued: a queue that
+        // grows
+        // up to the deadlines delays all requests without any gain in throughput.
         double allowedMs = latencyTargetMs > 0
                 ? Math.min(deadlineMs - nowMs, Math.max(latencyTargetMs, expectedMs * MIN_WAIT_FACTOR))
                 : deadlineMs - nowMs;
@@ -591,7 +630,7 @@
         return runningRequests < capacity && (!isWarmingUp(nowMs) || hasSlowStartCapacity(nowMs));
     }
 
-    /** Room in the sliding second of a cold server. */
+    /** Whether the slow-start limit of the last second leaves room. */
     private boolean hasSlowStartCapacity(long nowMs) {
         expireStartTimes(nowMs);
         if (slowStartRatePerSecond <= 0) {
@@ -663,7 +702,7 @@
         }
     }
 
-    /** The time that most requests of a route need once they are let through. */
+    /** The latency that most requests of a route do not exceed once they are admitted. */
     private double expectedLatencyMs(String route) {
         double meanMs = meanLatencyByRoute.getDouble(route);
         return meanMs < 0
--- a/src/main/java/bramblespool/coordination/traffic/ServerAdmissions.java
+++ b/src/main/java/bramblespool/coordination/traffic/ServerAdmissions.java
@@ -10,11 +10,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The gates of a data plane daemon, by service: a weft's one, or those of the servers a hem is steward of. */
+/**
+ * A proxy's server admissions by service: the one of a sidecar, or those of the servers assigned to a gateway. Confined
+ * to the event loop.
+ */
 public final class ServerAdmissions {
     private final Map<String, List<ServerAdmission>> admissionsByService = new LinkedHashMap<>();
     private RoutingConfiguration activeConfiguration;
 
+    /** Adds a server's admission. */
     public void add(ServerAdmission admission) {
         admissionsByService
                 .computeIfAbsent(admission.target(), t -> new ArrayList<>())
@@ -22,6 +26,7 @@
         configureSlowStart(admission);
     }
 
+    /** Removes and closes an admission that was added. */
     public void remove(ServerAdmission admission) {
         List<ServerAdmission> admissions = admissionsByService.get(admission.target());
         admissions.remove(admission);
@@ -31,7 +36,7 @@
         admission.close();
     }
 
-    /** The gate of the service behind which a request waits least, or null where there is none. */
+    /** The admission of the service with the lowest load and cost, or null where there is none. */
     public ServerAdmission leastLoaded(String target) {
         ServerAdmission best = null;
         for (ServerAdmission admission : admissionsByService.getOrDefault(target, List.of())) {
@@ -42,20 +47,22 @@
         return best;
     }
 
+    /** Calls {@link ServerAdmission#check} of each; to be called periodically. */
     public void check() {
-        admissionsByService.values().forEach(l -> l.forEach(ServerAdmission::check));
+        admissionsByService.values().forEach(admissions -> admissions.forEach(ServerAdmission::check));
     }
 
-    /** This process itself stood still. */
+    /** The process was paused: what servers announced before may be out of date. */
     public void onProcessPaused() {
         admissionsByService.values().forEach(l -> l.forEach(ServerAdmission::onProcessPaused));
     }
 
+    /** Sets whether the own zone is evacuated. */
     public void setEvacuated(boolean evacuated) {
-        admissionsByService.values().forEach(l -> l.forEach(g -> g.setEvacuated(evacuated)));
+        admissionsByService.values().forEach(l -> l.forEach(admission -> admission.setEvacuated(evacuated)));
     }
 
-    /** The version in force, for the gates there are and for those still to come. */
+    /** Takes the version in force, for the present admissions and those added later. */
     public void applyConfiguration(RoutingConfiguration configuration) {
         activeConfiguration = configuration;
         admissionsByService.values().forEach(l -> l.forEach(this::configureSlowStart));
@@ -67,6 +74,7 @@
                 service == null ? 0 : service.slowStartRatePerSecond(), service == null ? 0 : service.slowStartMs());
     }
 
+    /** Running and queued requests of all services. */
     public int load() {
         int total = 0;
         for (String service : admissionsByService.keySet()) {
@@ -75,6 +83,7 @@
         return total;
     }
 
+    /** Running and queued requests of a service. */
     public int load(String target) {
         int total = 0;
         for (ServerAdmission admission : admissionsByService.getOrDefault(target, List.of())) {
@@ -83,6 +92,7 @@
         return total;
     }
 
+    /** Sum of the capacities of the servers that accept requests. */
     public int capacity() {
         int total = 0;
         for (List<ServerAdmission> admissions : admissionsByService.values()) {
@@ -93,11 +103,12 @@
         return total;
     }
 
+    /** Whether any server accepts requests. */
     public boolean isAccepting() {
         return admissionsByService.values().stream().anyMatch(l -> l.stream().anyMatch(ServerAdmission::isAccepting));
     }
 
-    /** The ids of all servers behind these gates. */
+    /** The ids of all known servers. */
     public List<String> serverIds() {
         List<String> serverIds = new ArrayList<>();
         admissionsByService
@@ -110,7 +121,11 @@
         return serverIds;
     }
 
-    /** What others may know: one door a service. */
+    /**
+     * The endpoints as they are announced by gossip, one for each service.
+     *
+     * @param hasLeft whether this proxy has left, so that none is open
+     */
     public ArrayNode describeEndpoints(boolean hasLeft) {
         ArrayNode endpoints = JsonNodeFactory.instance.arrayNode();
         admissionsByService.forEach((target, admissions) -> {
--- a/src/main/java/bramblespool/process/ControllerProcess.java
+++ b/src/main/java/bramblespool/process/ControllerProcess.java
@@ -26,7 +26,10 @@
 import java.security.SecureRandom;
 import java.util.Locale;
 
-/** The control plane's process. */
+/**
+ * A controller's process: storage, listeners, and the operator's requests (PROTOCOL-bramblespool.md, "The operator").
+ * Confined to the event loop.
+ */
 public final class ControllerProcess implements ManagedProcess {
     private static final String CONFIGURATION_PATH = "/bramblespool/config/";
     private static final String EVACUATION_PATH = "/bramblespool/evacuation/";
@@ -40,6 +43,11 @@
     private final java.util.Set<String> zones;
     private int inFlightRequests;
 
+    /**
+     * Opens the store and the listeners and starts.
+     *
+     * @throws IOException where an address cannot be bound or the store cannot be opened
+     */
     public ControllerProcess(Settings settings, EventLoop eventLoop, EventLog log) throws IOException {
         this.eventLoop = eventLoop;
         this.retryAfterMs = settings.bounds().quietPeriodMs() / 15;
@@ -75,9 +83,9 @@
         log.log(Event.READY, "member", controllerNode.raft().localId());
     }
 
-    /** With a damaged store this helm is of no use until it starts anew, as a new member. */
+    /** With a damaged store this controller has to be restarted, as a new member. */
     private static void exitAfterDamage() {
-        // In a thread of its own: ending waits for the loop to hand over.
+        // In a thread of its own, because the shutdown hook waits for the event loop.
         new Thread(null, () -> System.exit(1), "end", 256 << 10).start();
     }
 
@@ -91,8 +99,8 @@
         boolean isEvacuation =
                 path.startsWith(EVACUATION_PATH) && (path.endsWith("/begin") || path.endsWith("/finish"));
         if (Heartbeat.heartbeatServerId(path) != null || Heartbeat.deregisteredServerId(path) != null) {
-            // Only the weft beside a server can vouch for it.
-            sendUnavailable(exchange, "the daemon on the server's machine is wanted");
+            // Only the server's own sidecar takes its heartbeats.
+            sendUnavailable(exchange, "to be sent to the sidecar on the server's machine");
         } else if (!isReplace && !isAmend && !isRead && !isEvacuation) {
             Replies.sendJson(exchange, 404, errorJson("no such call"));
         } else if (isRead ? !isGet : !isPost) {
@@ -147,7 +155,7 @@
                 if (hasSucceeded) {
                     Replies.sendJson(exchange, 200, "{}");
                 } else {
-                    sendUnavailable(exchange, "the lead was lost");
+                    sendUnavailable(exchange, "leadership was lost");
                 }
             });
         } else {
--- a/src/main/java/bramblespool/process/GatewayProcess.java
+++ b/src/main/java/bramblespool/process/GatewayProcess.java
@@ -5,8 +5,13 @@
 import bramblespool.transport.EventLoop;
 import java.io.IOException;
 
-/** The data plane's process at the edge: outside clients come to it, and it is steward of some of the zone's servers. */
+/** The proxy for outside clients; some of the zone's servers are assigned to it. Confined to the event loop. */
 public final class GatewayProcess extends ProxyProcess {
+    /**
+     * Opens the listeners and starts.
+     *
+     * @throws IOException where an address cannot be bound
+     */
     public GatewayProcess(Settings settings, EventLoop eventLoop, EventLog log) throws IOException {
         super(settings, null, eventLoop, log);
         startServing();
--- a/src/main/java/bramblespool/process/ManagedProcess.java
+++ b/src/main/java/bramblespool/process/ManagedProcess.java
@@ -2,10 +2,11 @@
 
 import bramblespool.state.Settings;
 
-/** What a running role is told from outside; always on the loop. */
+/** The life cycle of a running role. Confined to the event loop. */
 public interface ManagedProcess {
+    /** Takes reloaded settings. */
     void updateSettings(Settings newSettings);
 
-    /** Ends in order within the given time. */
+    /** Shuts down gracefully within the given time, then runs {@code onStopped} once. */
     void stop(long graceMs, Runnable onStopped);
 }
--- a/src/main/java/bramblespool/process/ProxyProcess.java
+++ b/src/main/java/bramblespool/process/ProxyProcess.java
@@ -24,14 +24,14 @@
 import java.io.IOException;
 import org.xnio.OptionMap;
 
-/** A data plane process: what weft and hem share. */
+/** What sidecar and gateway have in common: listeners, wiring, readiness and shutdown. Confined to the event loop. */
 abstract class ProxyProcess implements ManagedProcess {
     private static final String READINESS_PATH = "/bramblespool/readiness";
-    /** Between daemons connections are kept so long that traffic comes back to most of them. */
+    /** Idle connections between processes are kept long enough to be reused in most cases. */
     private static final int PEER_IDLE_TIMEOUT_MS = 60_000;
 
     private static final long MAX_CLIENT_HEADER_BYTES = 1 << 20;
-    /** A connection that never brings a request is closed after so many times what one may rest between two. */
+    /** A connection without any request is closed after this multiple of the idle time-out. */
     private static final int SILENT_CONNECTION_FACTOR = 8;
 
     final EventLoop eventLoop;
@@ -46,7 +46,7 @@
     private RequestLimits limits = RequestLimits.DEFAULT;
     private boolean isReadyLogged;
 
-    /** {@code target}: the service of this machine's server, or null where there is none. */
+    /** {@code localService}: the service of this machine's server; null in a gateway. */
     ProxyProcess(Settings settings, String localService, EventLoop eventLoop, EventLog log) throws IOException {
         this.eventLoop = eventLoop;
         this.log = log;
@@ -90,7 +90,7 @@
                 forwarder,
                 listeners.bufferPool(),
                 localService,
-                dataPlaneNode::onCallerTag,
+                dataPlaneNode::onVersionMark,
                 dataPlaneNode::hasLeft);
         listeners.listen(settings.peerAddress(), transport, peerListenerOptions());
         listeners.listen(
@@ -103,7 +103,7 @@
                 listeners.listen(settings.outboundAddress(), this::handleClientRequest, clientListenerOptions());
     }
 
-    /** To be called once all listening is done. */
+    /** Starts the node; to be called once all listeners are open. */
     final void startServing() {
         dataPlaneNode.start();
         eventLoop.scheduleRepeatedly(settings.bounds().quietPeriodMs() / 30, this::refreshConfiguration);
@@ -125,8 +125,8 @@
     }
 
     /**
-     * A request of a client's: the limits on its body, where its length is told, and on the rest after it are those of now,
-     * whenever the connection came.
+     * Handles a client's request. The limits of its body, where its length is declared, and of the idle period after it
+     * are those in force now, whenever the connection was opened.
      */
     private void handleClientRequest(HttpServerExchange exchange) throws Exception {
         RoutingConfiguration configuration = dataPlaneNode.shadowCommit.realConfiguration();
@@ -134,7 +134,7 @@
             exchange.setMaxEntitySize(configuration.limits.bodyBytes());
             idleConnections.setIdleLimit(configuration.limits.idleTimeoutMs());
         }
-        // Should its body break off, this is what the exchange ends with; every other end says its own.
+        // The status if its body breaks off; every other end sets its own.
         exchange.setStatusCode(StatusCodes.BAD_REQUEST);
         ServerConnection connection = exchange.getConnection();
         idleConnections.onRequestStarted(connection);
@@ -145,7 +145,7 @@
         outboundHandler.handleRequest(exchange);
     }
 
-    /** Ends an exchange whose body broke off or was over its connection's bound: nothing was taken. */
+    /** Ends an exchange whose body broke off or exceeded the connection's limit; nothing was executed. */
     static void endUnreadable(HttpServerExchange exchange, IOException failure) {
         exchange.setStatusCode(
                 failure instanceof RequestTooBigException
@@ -155,8 +155,8 @@
     }
 
     /**
-     * Takes over the operator's limits; those on heads and on bodies without a length hold on connections
-     * that come from now on.
+     * Takes the limits of the configuration in force; those of heads and of bodies without a length apply to
+     * connections that are opened from now on.
      */
     private void refreshConfiguration() {
         RoutingConfiguration configuration = dataPlaneNode.shadowCommit.realConfiguration();
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Called now and then with the version in force. */
+    /** Called periodically with the version in force. */
     void onConfiguration(RoutingConfiguration configuration) {}
 
     private void handleReadiness(HttpServerExchange exchange) {
@@ -192,7 +192,9 @@
         dataPlaneNode.updateSettings(newSettings);
     }
 
-    /** Not ready at once; goes on serving who still comes, and its servers with it; then finishes what it holds. */
+    /**
+     * Not ready at once, but still serving for a part of the time; then closes the listeners and finishes its requests.
+     */
     @Override
     public void stop(long graceMs, Runnable onStopped) {
         outboundHandler.beginShutdown();
@@ -207,7 +209,7 @@
     private void awaitInFlightRequests(long deadlineMs, Runnable onStopped) {
         if (outboundHandler.inFlightRequests() == 0 && dataPlaneNode.admissions.load() == 0
                 || eventLoop.nowMs() >= deadlineMs) {
-            // Nothing more is read from them, so that nothing is read and left without an answer.
+            // Closed so that no further request is read and left without a response.
             idleConnections.closeIdle();
             onStopped.run();
         } else {
--- a/src/main/java/bramblespool/process/SidecarProcess.java
+++ b/src/main/java/bramblespool/process/SidecarProcess.java
@@ -19,14 +19,22 @@
 import io.undertow.util.SameThreadExecutor;
 import java.io.IOException;
 
-/** The data plane's process beside a server: the one gate to it, and the way out for it and for local clients. */
+/**
+ * The proxy beside a server: admits all requests to it and forwards those of the server and of local clients. Also
+ * takes the server's heartbeats (PROTOCOL-bramblespool.md, "Servers"). Confined to the event loop.
+ */
 public final class SidecarProcess extends ProxyProcess {
     private static final int MAX_HEARTBEAT_BYTES = 4096;
-    /** Slots granted to a server whose capacity nobody has told yet. */
+    /** Assumed capacity of a server as long as none is known for its service. */
     private static final int INITIAL_CAPACITY = 2;
 
-    private boolean hasProbed;
+    private boolean hasCheckedHealth;
 
+    /**
+     * Opens the listeners and starts.
+     *
+     * @throws IOException where an address cannot be bound
+     */
     public SidecarProcess(Settings settings, EventLoop eventLoop, EventLog log) throws IOException {
         super(settings, settings.serviceName(), eventLoop, log);
         listeners.listen(settings.controlAddress(), this::handleServerRequest, peerListenerOptions());
@@ -35,16 +43,19 @@
 
     @Override
     void onConfiguration(RoutingConfiguration configuration) {
-        if (!hasProbed) {
-            hasProbed = true;
+        if (!hasCheckedHealth) {
+            hasCheckedHealth = true;
             if (dataPlaneNode.serverAdmission.serverId() == null && !settings.isBootstrap()) {
-                probeServer(configuration);
+                checkHealth(configuration);
             }
         }
     }
 
-    /** After a restart the server may have been running all along, and its next beat is some way off: it is asked once. */
-    private void probeServer(RoutingConfiguration configuration) {
+    /**
+     * After a restart of this process the server may be running, and its next heartbeat may take a while: checks it
+     * once.
+     */
+    private void checkHealth(RoutingConfiguration configuration) {
         Service service = configuration.services.get(settings.serviceName());
         if (service == null) {
             return;
@@ -107,7 +118,7 @@
 
     private void handleHeartbeat(HttpServerExchange exchange, String serverId, BodyStream.Body body) {
         if (!body.isComplete()) {
-            Replies.sendTextAndClose(exchange, 413, "a heartbeat holds at most " + MAX_HEARTBEAT_BYTES + " bytes");
+            Replies.sendTextAndClose(exchange, 413, "a heartbeat has at most " + MAX_HEARTBEAT_BYTES + " bytes");
             return;
         }
         String rejection;
--- a/src/main/java/bramblespool/protocol/ExecutionOutcome.java
+++ b/src/main/java/bramblespool/protocol/ExecutionOutcome.java
@@ -1,21 +1,25 @@
 package bramblespool.protocol;
 
-/** May the request have run? Every send ends in one of these. */
+/**
+ * Whether a request was executed: the result of every attempt. Sent between proxies by its code. Source:
+ * PROTOCOL-bramblespool.md, "Answers".
+ */
 public enum ExecutionOutcome {
-    /** Nothing was handed to a server, or the server said that it did not run it. */
+    /** Nothing was sent to a server, or the server answered that it did not execute the request. */
     NOT_EXECUTED("n"),
-    /** It was handed on and nobody can say. */
+    /** The request was sent and its outcome is unknown. */
     POSSIBLY_EXECUTED("m"),
     /** The server answered. */
     ANSWERED("a");
 
+    /** The value in the header {@link HeaderNames#EXECUTION_OUTCOME}. */
     public final String code;
 
     ExecutionOutcome(String code) {
         this.code = code;
     }
 
-    /** A peer's word; without one that is understood, the request may have run. */
+    /** The outcome that a proxy sent; {@link #POSSIBLY_EXECUTED} where the code is null or unknown. */
     public static ExecutionOutcome fromCode(String code) {
         return "n".equals(code) ? NOT_EXECUTED : "a".equals(code) ? ANSWERED : POSSIBLY_EXECUTED;
     }
--- a/src/main/java/bramblespool/protocol/HeaderNames.java
+++ b/src/main/java/bramblespool/protocol/HeaderNames.java
@@ -6,25 +6,42 @@
 import io.undertow.util.HttpString;
 import java.util.Set;
 
-/** The header names of the protocol, and which headers travel on. */
+/**
+ * Names of the headers of PROTOCOL-bramblespool.md ("Requests", "Answers", "Servers") and of those between proxies, and
+ * the rule which headers are forwarded.
+ */
 public final class HeaderNames {
+    /** Names an attempt; every response names the attempt that it answers. */
     public static final HttpString ATTEMPT_ID = new HttpString("X-Attempt-Id");
+    /** Milliseconds left for the request. */
     public static final HttpString DEADLINE = new HttpString("X-Deadline-Ms");
+    /** Set by a server on each of its responses. */
     public static final HttpString SERVER_SEAL = new HttpString("X-Server-Seal");
+    /** The id of the server that a request is meant for. */
     public static final HttpString TARGET_INSTANCE = new HttpString("X-Target-Instance");
+    /** A server's promise that it did not execute the request. */
     public static final HttpString NOT_EXECUTED = new HttpString("X-Not-Executed");
+    /** The service that sends the request. */
     public static final HttpString CALLER_SERVICE = new HttpString("X-Caller-Service");
+    /** Milliseconds of slow start that a server has left, in the answer to a health check. */
     public static final HttpString WARMUP = new HttpString("X-Warmup-Ms");
+    /** A server's id, in the answer to a health check. */
     public static final HttpString INSTANCE_ID = new HttpString("X-Instance-Id");
+    /** The tenant of the request; set by the system only. */
     public static final HttpString TENANT = new HttpString("X-Tenant");
+    /** The idempotency key. */
     public static final HttpString OPERATION_KEY = new HttpString("X-Operation-Key");
-    /** Between daemons of the data plane only. */
+    /** Between proxies: the version of the routing configuration by which the request is routed. */
     public static final HttpString VERSION_MARK = new HttpString("X-Spool-Mark");
-
+    /** Between proxies: the service that the request is for. */
     public static final HttpString TARGET_SERVICE = new HttpString("X-Spool-Service");
+    /** Between proxies: the sending proxy's node. */
     public static final HttpString SENDER_NODE = new HttpString("X-Spool-From");
+    /** Between proxies: the code of an {@link ExecutionOutcome}. */
     public static final HttpString EXECUTION_OUTCOME = new HttpString("X-Spool-Verdict");
+    /** Between proxies: why a request was not answered; a final {@code !} means that it reached the server. */
     public static final HttpString REASON = new HttpString("X-Spool-Why");
+    /** Between proxies: running and queued requests of the service at the answering proxy. */
     public static final HttpString SERVER_LOAD = new HttpString("X-Spool-Load");
 
     private static final HttpString KEEP_ALIVE = new HttpString("Keep-Alive");
@@ -53,7 +70,7 @@
 
     private HeaderNames() {}
 
-    /** Copies what travels on. Headers that the system sets itself never do: each daemon sets its own. */
+    /** Copies the end-to-end headers. Headers that the system sets itself are left out: each process sets its own. */
     public static void copyEndToEnd(HeaderMap source, HeaderMap destination) {
         HeaderValues connection = source.get(Headers.CONNECTION);
         for (long cursor = source.fastIterateNonEmpty(); cursor != -1; cursor = source.fiNextNonEmpty(cursor)) {
@@ -83,7 +100,7 @@
         return false;
     }
 
-    /** Seconds that a kept connection lasts, as its other end tells, or -1. */
+    /** Seconds that an idle connection is kept by the peer, from its Keep-Alive header; -1 where it announces none. */
     public static int keepAliveSeconds(HeaderMap headers) {
         String value = headers.getFirst(KEEP_ALIVE);
         if (value != null) {
--- a/src/main/java/bramblespool/protocol/Heartbeat.java
+++ b/src/main/java/bramblespool/protocol/Heartbeat.java
@@ -6,7 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A server's word about itself. */
+/**
+ * A server's heartbeat, and the paths of heartbeats and deregistration. Source: PROTOCOL-bramblespool.md, "Servers".
+ *
+ * @param id the server's id, from the path
+ * @param target its service
+ * @param address where it is reached
+ * @param capacity requests that it runs at the same time, at least 1
+ * @param isDraining whether it is about to end
+ * @param warmupLeftMs remaining slow start; 0 where it has none
+ * @param callSequence rises with each heartbeat of a server
+ */
 public record Heartbeat(
         String id,
         String target,
@@ -20,16 +30,17 @@
     private static final String HEARTBEAT_SUFFIX = "/heartbeat";
     private static final String DEREGISTER_SUFFIX = "/deregister";
 
-    /** The id in the path of a heartbeat, or null. */
+    /** The server id in the path of a heartbeat; null for other paths. */
     public static String heartbeatServerId(String path) {
-        return id(path, HEARTBEAT_SUFFIX);
+        return serverIdIn(path, HEARTBEAT_SUFFIX);
     }
 
+    /** The server id in the path of a deregistration; null for other paths. */
     public static String deregisteredServerId(String path) {
-        return id(path, DEREGISTER_SUFFIX);
+        return serverIdIn(path, DEREGISTER_SUFFIX);
     }
 
-    private static String id(String path, String suffix) {
+    private static String serverIdIn(String path, String suffix) {
         if (!path.startsWith(PATH_PREFIX)
                 || !path.endsWith(suffix)
                 || path.length() <= PATH_PREFIX.length() + suffix.length()) {
@@ -39,6 +50,11 @@
         return id.indexOf('/') >= 0 ? null : id;
     }
 
+    /**
+     * Parses the body of a heartbeat.
+     *
+     * @throws InvalidConfigurationException with all faults of the body
+     */
     public static Heartbeat parse(String id, byte[] body) throws InvalidConfigurationException {
         List<String> faults = new ArrayList<>();
         DocumentReader fields = new DocumentReader(RoutingConfiguration.parseDocument(body), "", faults);
--- a/src/main/java/bramblespool/protocol/OperatorRequest.java
+++ b/src/main/java/bramblespool/protocol/OperatorRequest.java
@@ -9,11 +9,22 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** What the operator may order, as it is sent. */
+/** The operator's changes of the configuration and their results. Source: PROTOCOL-bramblespool.md, "The operator". */
 public final class OperatorRequest {
-    /** A change of configuration, whole or by named items, with the digest that makes a repeat known. */
+    /**
+     * A change of the configuration.
+     *
+     * @param document the whole document, or the named items of an amendment
+     * @param baseVersion the version that it changes; 0 where it names none
+     * @param digest identifies a repeated request
+     */
     public record ConfigurationChange(JsonObject document, boolean isAmendment, long baseVersion, String digest) {
-        /** The whole document that this change makes. */
+        /**
+         * The document that results from this change.
+         *
+         * @param current the version in force, or null
+         * @throws InvalidConfigurationException where an amendment does not apply
+         */
         public JsonObject applyTo(RoutingConfiguration current) throws InvalidConfigurationException {
             if (!isAmendment) {
                 JsonObject newDocument = document.deepCopy();
@@ -27,21 +38,29 @@
         }
     }
 
-    /** What the operator hears. */
+    /**
+     * The answer to the operator.
+     *
+     * @param status the HTTP status
+     * @param epoch the version it is about; 0 where there is none
+     */
     public record Result(int status, String message, long epoch) {
+        /** The change is in force as this version. */
         public static Result accepted(long epoch) {
             return new Result(200, "taken", epoch);
         }
 
+        /** The change names another version than the current one, which is given. */
         public static Result versionConflict(long epoch) {
             return new Result(412, "another version is current", epoch);
         }
 
+        /** The document has faults. */
         public static Result invalid(String faults) {
             return new Result(400, faults, 0);
         }
 
-        /** Not known whether it is in force: the caller is to send it again. */
+        /** The outcome is unknown: the operator has to send the change again. */
         public static Result unknown(String reason) {
             return new Result(503, reason, 0);
         }
@@ -49,6 +68,11 @@
 
     private OperatorRequest() {}
 
+    /**
+     * Parses a change and checks its version numbers; the rest is checked when it is applied.
+     *
+     * @throws InvalidConfigurationException where the body is no JSON object or a version number is invalid
+     */
     public static ConfigurationChange parseChange(boolean isAmendment, byte[] body)
             throws InvalidConfigurationException {
         JsonObject document = RoutingConfiguration.parseDocument(body);
--- a/src/main/java/bramblespool/protocol/RegistryPage.java
+++ b/src/main/java/bramblespool/protocol/RegistryPage.java
@@ -14,9 +14,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One page of the platform's list of servers. */
+/**
+ * One page of the platform's server list. Source: PROTOCOL-bramblespool.md, "Which servers there are".
+ *
+ * @param nextToken the token of the next page; null on the last one
+ */
 public record RegistryPage(List<RegisteredServer> servers, String nextToken) {
-    /** A server as the platform lists it. */
+    /**
+     * A server as listed.
+     *
+     * @param target its service
+     * @param capacity requests that it runs at the same time, at least 1
+     * @param warmupLeftMs remaining slow start when the page was read
+     */
     public record RegisteredServer(
             String id,
             String target,
@@ -25,7 +35,7 @@
             int capacity,
             boolean isDraining,
             long warmupLeftMs) {
-        /** As our own daemons pass it on. */
+        /** The server as sent in the peer message {@code assign}; without its zone. */
         public ObjectNode toJson() {
             return JsonNodeFactory.instance
                     .objectNode()
@@ -37,6 +47,7 @@
                     .put("cold", warmupLeftMs);
         }
 
+        /** Reads what {@link #toJson} wrote; the zone is empty. */
         public static RegisteredServer fromJson(JsonNode json) {
             return new RegisteredServer(
                     json.path("id").asText(),
@@ -49,7 +60,11 @@
         }
     }
 
-    /** Checks a page whole: nothing is taken from one with a fault. */
+    /**
+     * Parses a page.
+     *
+     * @throws InvalidConfigurationException with all faults of the page; nothing is taken from a page with a fault
+     */
     public static RegistryPage parse(byte[] body) throws InvalidConfigurationException {
         JsonObject tree = RoutingConfiguration.parseDocument(body);
         List<String> faults = new ArrayList<>();
--- a/src/main/java/bramblespool/proxy/IdleConnections.java
+++ b/src/main/java/bramblespool/proxy/IdleConnections.java
@@ -8,8 +8,9 @@
 import org.xnio.IoUtils;
 
 /**
- * The clients' connections on which no request is under way, and how long each may rest. A bound that rises holds for
- * the connections there are; one that falls only for rests that begin under it, for a client may still count on the last.
+ * The clients' connections without a request in progress, and how long each may stay idle. A raised limit applies to
+ * the present connections; a lowered one only to idle periods that begin under it, because a client may rely on the
+ * previous limit. Confined to the event loop.
  */
 public final class IdleConnections<C extends Channel> {
     private record IdlePeriod(long sinceMs, long limitMs) {}
@@ -18,16 +19,18 @@
     private final Map<C, IdlePeriod> idlePeriods = new LinkedHashMap<>();
     private long idleLimitMs;
 
+    /** {@code idleLimitMs}: limit of an idle period. */
     public IdleConnections(Clock clock, long idleLimitMs) {
         this.clock = clock;
         this.idleLimitMs = idleLimitMs;
     }
 
+    /** Sets the limit of an idle period. */
     public void setIdleLimit(long limitMs) {
         idleLimitMs = limitMs;
     }
 
-    /** A request has come on it. */
+    /** A request has arrived on the connection. */
     public void onRequestStarted(C connection) {
         idlePeriods.remove(connection);
     }
@@ -37,16 +40,16 @@
         idlePeriods.put(connection, new IdlePeriod(clock.nowMs(), idleLimitMs));
     }
 
-    /** Closes those that have rested for too long and forgets those that are closed; to be called now and then. */
+    /** Closes connections that were idle for too long and forgets closed ones; to be called periodically. */
     public void closeExpired() {
         long nowMs = clock.nowMs();
         closeIdle((connection, period) ->
                 !connection.isOpen() || nowMs - period.sinceMs >= Math.max(period.limitMs, idleLimitMs));
     }
 
-    /** Closes all that rest. */
+    /** Closes all idle connections. */
     public void closeIdle() {
-        closeIdle((c, r) -> true);
+        closeIdle((connection, period) -> true);
     }
 
     private void closeIdle(BiPredicate<C, IdlePeriod> condition) {
--- a/src/main/java/bramblespool/proxy/InboundHandler.java
+++ b/src/main/java/bramblespool/proxy/InboundHandler.java
@@ -17,19 +17,27 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 
-/** Calls from other daemons of the data plane: the mark chooses the version, the gate decides, the courier carries. */
+/**
+ * Requests from other proxies: the version mark selects the routing configuration, the server's admission decides, and
+ * the {@link ServerForwarder} sends the request. Confined to the event loop.
+ */
 public final class InboundHandler implements HttpHandler {
     private final Clock clock;
     private final ShadowCommitParticipant shadowCommit;
     private final ServerAdmissions serverAdmissions;
     private final ServerForwarder forwarder;
     private final ByteBufferPool bufferPool;
-    /** The one service of this machine's server, or null where there are several: callers name the one they want. */
+    /** The service of this machine's server, or null in a gateway, where callers name the service. */
     private final String localService;
 
     private final BiConsumer<String, String> onVersionMark;
     private final BooleanSupplier hasLeft;
 
+    /**
+     * @param localService the service of this machine's server; null in a gateway
+     * @param onVersionMark gets the caller's node and its version mark, each possibly null, for each request
+     * @param hasLeft whether this proxy has announced that it leaves
+     */
     public InboundHandler(
             Clock clock,
             ShadowCommitParticipant shadowCommit,
@@ -49,7 +57,11 @@
         this.onVersionMark = onVersionMark;
     }
 
-    /** The route under which the request may be handed to a server of the service, and its gate; or why not. */
+    /**
+     * The route by which a request may be forwarded to a server of the service, and the server's admission.
+     *
+     * @param rejectionReason why it may not; null where it may
+     */
     record RouteResolution(Route route, int rank, ServerAdmission serverAdmission, String rejectionReason) {
         private static RouteResolution rejected(String reason) {
             return new RouteResolution(null, 0, null, reason);
@@ -101,7 +113,7 @@
         String requestedService = exchange.getRequestHeaders().getFirst(HeaderNames.TARGET_SERVICE);
         String service = requestedService == null ? localService : requestedService;
         if (localService != null && !localService.equals(service)) {
-            // This address was another service's before, and the caller has not heard.
+            // This address belonged to another service before, and the caller is not up to date.
             reject(exchange, localService, "none", 0, false);
             return;
         }
@@ -145,7 +157,7 @@
                 e -> exchange.endExchange());
     }
 
-    /** Whatever is answered names the try that it is an answer to: a refusal of another one must not be believed. */
+    /** Every response names the attempt it answers, so that it cannot be mistaken for an answer to another one. */
     private static String attemptId(HttpServerExchange exchange) {
         return exchange.getRequestHeaders().getFirst(HeaderNames.ATTEMPT_ID);
     }
--- a/src/main/java/bramblespool/proxy/OutboundHandler.java
+++ b/src/main/java/bramblespool/proxy/OutboundHandler.java
@@ -30,18 +30,24 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Requests that start here, of clients or of this machine's server: chooses route, version and server, and sees each one through. */
+/**
+ * Requests of clients and of this machine's server: selects route, version and endpoint for each and handles its
+ * attempts until it is answered. Source: PROTOCOL-bramblespool.md, "Requests" and "Answers". Confined to the event
+ * loop.
+ */
 public final class OutboundHandler implements HttpHandler {
-    /** How many gates one request is shown to; a refusal at a gate costs no arrival at a server. */
+    /**
+     * Endpoints that one request is sent to at most; a rejection by an admission does not count as a server arrival.
+     */
     private static final int MAX_ENDPOINTS_TRIED = 4;
-    /** Time that must be left for a further try to be worth it. */
+    /** Time before the deadline that a retry needs. */
     private static final long MIN_RETRY_TIME_MS = 15;
 
     private static final long DEFAULT_RETRY_AFTER_MS = 60;
     private static final int MAX_KEY_LENGTH = 255;
-    /** Statuses by which a client is promised that its request has not run. */
+    /** Statuses that promise a client that its request was not executed. */
     private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
-    /** A request may wait for this part of its aim, and of the time it has, to be admitted. */
+    /** Admission may take the latency target, or the remaining time where that is less, divided by this. */
     private static final int ADMISSION_WAIT_DIVISOR = 2;
 
     private final Clock clock;
@@ -65,13 +71,20 @@
     private boolean isStopping;
     private int inFlightRequests;
 
-    /** Who is told when a call to a peer has been waiting, failed, or been refused for its mark. */
+    /** Gets observations about other proxies. */
     public interface ProxyObserver {
+        /** A request to the proxy has been waiting, and nothing else was received from it. */
         void onProxySilent(EndpointDirectory.Proxy proxy);
 
+        /** A proxy rejected a request because of its version mark or route. */
         void onVersionMismatch();
     }
 
+    /**
+     * @param node this proxy's name
+     * @param localService the service of this machine's server; empty in a gateway
+     * @param connectionOptions for requests to other proxies
+     */
     public OutboundHandler(
             Clock clock,
             DataPlaneNode dataPlaneNode,
@@ -102,10 +115,12 @@
         this.log = log;
     }
 
+    /** From now on connections are closed after the response. */
     public void beginShutdown() {
         isStopping = true;
     }
 
+    /** Requests that are not yet answered. */
     public int inFlightRequests() {
         return inFlightRequests;
     }
@@ -157,10 +172,10 @@
             tenant = key == null ? null : configuration.tenantOfKey(key);
             if (tenant == null && (key != null || !route.isPublic())) {
                 exchange.getResponseHeaders().put(Headers.WWW_AUTHENTICATE, "Token");
-                Replies.sendText(exchange, 401, key == null ? "a key is wanted" : "unknown key");
+                Replies.sendText(exchange, 401, key == null ? "a key is required" : "unknown key");
                 return;
             }
-            // Whatever the client said: the key is for us alone, and whose it is only we say.
+            // The key is not forwarded, and only this proxy sets the tenant, whatever the client sent.
             exchange.getRequestHeaders().remove(Headers.AUTHORIZATION);
             exchange.getRequestHeaders().remove(HeaderNames.TENANT);
             if (tenant != null) {
@@ -196,15 +211,15 @@
                 e -> exchange.endExchange());
     }
 
-    /** What is wrong with the operation key of a request that must have one, or null. */
+    /** The fault of the idempotency key of a request that must have one, or null. */
     private static String operationKeyFault(HttpServerExchange exchange) {
         HeaderValues keys = exchange.getRequestHeaders().get(HeaderNames.OPERATION_KEY);
         if (keys == null || keys.size() != 1) {
-            return "one " + HeaderNames.OPERATION_KEY + " is wanted";
+            return "exactly one " + HeaderNames.OPERATION_KEY + " is required";
         }
         String key = keys.getFirst();
         return key.isEmpty() || key.length() > MAX_KEY_LENGTH || !key.chars().allMatch(c -> c > ' ' && c < 127)
-                ? HeaderNames.OPERATION_KEY + " must be 1 to " + MAX_KEY_LENGTH + " printable letters without spaces"
+                ? HeaderNames.OPERATION_KEY + " must be 1 to " + MAX_KEY_LENGTH + " printable characters without spaces"
                 : null;
     }
 
@@ -223,7 +238,7 @@
         return null;
     }
 
-    /** One request on its way. */
+    /** A request in progress. */
     private final class ProxiedExchange implements RequestAdmission.AdmissionHandler {
         private final HttpServerExchange exchange;
         private final RoutingConfiguration configuration;
@@ -240,7 +255,7 @@
         private RequestAttempt currentAttempt;
         private boolean isFinished;
         private boolean mayHaveExecuted;
-        /** What its key stands for, where it has one and the claim was won. */
+        /** The claimed operation, where the request has an idempotency key and the claim was won. */
         private IdempotencyTable.Operation operation;
 
         ProxiedExchange(
@@ -284,7 +299,7 @@
             if (!route.isKeyed()) {
                 return new RequestAdmission.AdmissionRequest(tenantName, limitedTenant, configuration.epoch, null, 0);
             }
-            // Without a tenant a key is one among those of the service that calls.
+            // Without a tenant the key belongs to the calling service.
             String keyOwner = tenant == null ? "~" + localService : tenantName;
             return new RequestAdmission.AdmissionRequest(
                     keyOwner,
@@ -310,7 +325,7 @@
         }
 
         @Override
-        public void reject(int status, long retryMs, String why) {
+        public void reject(int status, long retryMs, String reason) {
             if (isFinished) {
                 return;
             }
@@ -319,20 +334,20 @@
             if (retryMs > 0) {
                 exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Replies.formatSeconds(retryMs));
             }
-            Replies.sendText(exchange, status, why);
+            Replies.sendText(exchange, status, reason);
         }
 
         @Override
-        public void replay(IdempotencyTable.StoredResponse a) {
+        public void replay(IdempotencyTable.StoredResponse response) {
             if (isFinished) {
                 return;
             }
             isFinished = true;
             deadlineTimer.cancel();
-            Replies.replay(exchange, a);
+            Replies.replay(exchange, response);
         }
 
-        /** Says what came of the operation, for the repeats to come. */
+        /** Records the outcome of the operation, for repeated requests. */
         private void recordOutcome(ExecutionOutcome outcome, UpstreamClient.Response response) {
             if (operation == null) {
                 return;
@@ -346,7 +361,9 @@
             }
         }
 
-        /** Whether the service keeps its own record of keys, so that a run that broke off may be asked for again. */
+        /**
+         * Whether the service deduplicates keys itself, so that a request with an unknown outcome may be sent again.
+         */
         private boolean deduplicatesKeys() {
             Service serviceConfiguration = configuration.services.get(service);
             return serviceConfiguration != null && serviceConfiguration.deduplicatesItself();
@@ -377,7 +394,7 @@
                         shortestRetryAfterMs > 0
                                 ? shortestRetryAfterMs
                                 : DEFAULT_RETRY_AFTER_MS + (long) (clock.random() * DEFAULT_RETRY_AFTER_MS),
-                        "no server can take it");
+                        "no server available");
                 return;
             }
             triedEndpoints.add(endpoint);
@@ -403,11 +420,12 @@
             if (result.outcome() == ExecutionOutcome.ANSWERED
                     && !route.isIdempotent()
                     && NOT_EXECUTED_STATUSES.contains(result.response().statusCode())) {
-                // The server did not say that it has not run, and passed on its status would.
+                // The server did not promise that the request was not executed, and forwarding its status would promise
+                // it.
                 if (relayCompletion != null) {
                     relayCompletion.onRelayed(false);
                 }
-                result = ServerForwarder.Result.possiblyExecuted("a promise that the server did not give");
+                result = ServerForwarder.Result.possiblyExecuted("status without X-Not-Executed");
             }
             if (result.outcome() == ExecutionOutcome.ANSWERED) {
                 isFinished = true;
@@ -447,7 +465,7 @@
             giveUp(shortestRetryAfterMs > 0 ? shortestRetryAfterMs : DEFAULT_RETRY_AFTER_MS, result.reason());
         }
 
-        /** The final answer: the promise that it has not run is given only if that holds of every try. */
+        /** The final response: it promises that the request was not executed only if that holds for every attempt. */
         private void giveUp(long retryAfterMs, String reason) {
             isFinished = true;
             deadlineTimer.cancel();
@@ -459,7 +477,7 @@
             }
         }
 
-        /** One send to one gate. */
+        /** One attempt at one endpoint. */
         private final class RequestAttempt implements UpstreamClient.ResponseListener {
             private final EndpointDirectory.Endpoint endpoint;
             private UpstreamClient.Call upstreamCall;
@@ -511,12 +529,12 @@
                         this);
             }
 
-            /** A call that waits long asks whether its peer is still there. */
+            /** Pings the proxy while the response is late; hedges where the proxy is suspected. */
             private void watchForSilence() {
                 silenceTimer = clock.schedule(connectionOptions.connectTimeoutMs(), () -> {
                     if (endpointDirectory.isSuspected(endpoint.proxy) && mayHedge()) {
                         upstreamCall.cancel();
-                        finish(ServerForwarder.Result.possiblyExecuted("the peer is silent"), null);
+                        finish(ServerForwarder.Result.possiblyExecuted("proxy does not answer"), null);
                         return;
                     }
                     if (clock.nowMs() - endpoint.proxy.lastHeardMs > connectionOptions.connectTimeoutMs()) {
@@ -526,7 +544,7 @@
                 });
             }
 
-            /** Whether a request that may be running at a silent peer is better sent to another as well. */
+            /** Whether a request that may be executing at a silent proxy may be sent to another one as well. */
             private boolean mayHedge() {
                 return route.isIdempotent()
                         && request.body().isComplete()
@@ -551,7 +569,7 @@
                 }
             }
 
-            /** The deadline has come: nobody waits for the answer any more. */
+            /** The deadline has passed: the attempt is cancelled without a result. */
             void abandon() {
                 if (upstreamCall != null) {
                     upstreamCall.cancel();
@@ -562,10 +580,10 @@
             @Override
             public void onResponse(UpstreamClient.Response response) {
                 if (!Replies.namesAttempt(request.attemptId(), response.headers())) {
-                    // Whatever it says, it says of another request, a refusal as much as a success.
+                    // It answers another request, whether it is a rejection or a success.
                     upstreamCall.discardConnection();
                     upstream.closeIdleConnections(endpoint.proxy.inboundAddress);
-                    finish(ServerForwarder.Result.possiblyExecuted("an answer to another request"), null);
+                    finish(ServerForwarder.Result.possiblyExecuted("response to another request"), null);
                     return;
                 }
                 String serverLoad = response.headers().getFirst(HeaderNames.SERVER_LOAD);
@@ -584,7 +602,7 @@
                     upstreamCall.finish(false);
                 }
                 String reason = response.headers().getFirst(HeaderNames.REASON);
-                reason = reason == null ? "unexplained" : reason;
+                reason = reason == null ? "no reason given" : reason;
                 boolean hasReachedServer = reason.endsWith("!");
                 if (outcome == ExecutionOutcome.NOT_EXECUTED) {
                     finish(
