--- a/src/main/java/bramblespool/proxy/Replies.java
+++ b/src/main/java/bramblespool/proxy/Replies.java
@@ -17,10 +17,11 @@
 import java.util.Locale;
 import org.xnio.IoUtils;
 
-/** Answers on Undertow's exchanges. */
+/** Reading of requests' heads and sending of responses on Undertow's exchanges. Stateless; on the event loop. */
 public final class Replies {
     private Replies() {}
 
+    /** Sends a short text; closes the connection where a response has been started. */
     static void sendText(HttpServerExchange exchange, int status, String message) {
         if (exchange.isResponseStarted()) {
             IoUtils.safeClose(exchange.getConnection());
@@ -32,13 +33,14 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(bytes));
     }
 
+    /** Sends a JSON document. */
     public static void sendJson(HttpServerExchange exchange, int status, String json) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseSender().send(ByteBuffer.wrap(json.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** A refusal with the promise that the request has not run. */
+    /** Sends 503 with a time to retry, which promises that the request was not executed. */
     static void sendUnavailable(HttpServerExchange exchange, long retryAfterMs, String reason) {
         if (retryAfterMs > 0) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, formatSeconds(retryAfterMs));
@@ -46,18 +48,19 @@
         sendText(exchange, 503, reason);
     }
 
+    /** A duration in seconds with three decimals, as in Retry-After. */
     static String formatSeconds(long durationMs) {
         return String.format(Locale.ROOT, "%.3f", durationMs / 1000.0);
     }
 
-    /** Where the framing is in doubt nothing more is read from the connection. */
+    /** Sends a text and closes the connection afterwards, as where the request's framing is ambiguous. */
     public static void sendTextAndClose(HttpServerExchange exchange, int status, String message) {
         exchange.setPersistent(false);
         exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
         sendText(exchange, status, message);
     }
 
-    /** Passes an answer on as it is; one that breaks off closes the connection, so that it never looks whole. */
+    /** Forwards a response; closes the connection where it breaks off, so that it never looks complete. */
     static void relay(
             HttpServerExchange exchange,
             UpstreamClient.Response response,
@@ -99,7 +102,7 @@
                 });
     }
 
-    /** An answer as it is kept for repeats; null where it was too large to be held whole. */
+    /** A response as stored for repeated requests; null where it was too large to be buffered. */
     static IdempotencyTable.StoredResponse toStoredResponse(UpstreamClient.Response response) {
         if (!response.body().isComplete()) {
             return null;
@@ -117,7 +120,7 @@
                 response.statusCode(), namesAndValues, response.body().prefix());
     }
 
-    /** Answers a repeat as the first was answered; only the try it names is this one. */
+    /** Answers a repeated request with the stored response and the attempt id of this request. */
     static void replay(HttpServerExchange exchange, IdempotencyTable.StoredResponse storedResponse) {
         HeaderMap responseHeaders = exchange.getResponseHeaders();
         for (int i = 0; i + 1 < storedResponse.headers().size(); i += 2) {
@@ -134,7 +137,7 @@
         }
     }
 
-    /** The key that a client shows in {@code Authorization}, or null where it shows none of ours. */
+    /** The API key in {@code Authorization}; null without that header, empty where it holds no such key. */
     static String clientKey(HttpServerExchange exchange) {
         HeaderValues values = exchange.getRequestHeaders().get(Headers.AUTHORIZATION);
         if (values == null) {
@@ -147,11 +150,12 @@
                 : "";
     }
 
+    /** Same as {@link #positiveNumber(String)} for a header of the request. */
     static long positiveNumber(HttpServerExchange exchange, HttpString header) {
         return positiveNumber(exchange.getRequestHeaders().getFirst(header));
     }
 
-    /** A number above 0; -1 where there is none, -2 where it is no such number. */
+    /** A number above 0, rounded up; -1 where {@code value} is null, -2 where it is no such number. */
     public static long positiveNumber(String value) {
         if (value == null) {
             return -1;
@@ -164,13 +168,14 @@
         }
     }
 
-    /** The path and query exactly as they came. */
+    /** The path and query exactly as received. */
     static String requestTarget(HttpServerExchange exchange) {
         String query = exchange.getQueryString();
         String path = requestPath(exchange);
         return query == null || query.isEmpty() ? path : path + "?" + query;
     }
 
+    /** The path exactly as received, without the host of an absolute request target. */
     static String requestPath(HttpServerExchange exchange) {
         String uri = exchange.getRequestURI();
         if (exchange.isHostIncludedInRequestURI()) {
@@ -180,13 +185,13 @@
         return uri;
     }
 
-    /** Whether an answer, of whatever kind, names this one try and no other. */
+    /** Whether a response names this attempt and no other. */
     static boolean namesAttempt(String attemptId, HeaderMap headers) {
         return headers.count(HeaderNames.ATTEMPT_ID) == 1
                 && headers.getFirst(HeaderNames.ATTEMPT_ID).equals(attemptId);
     }
 
-    /** What is wrong with a request's framing or head, or null. */
+    /** The fault of a request's framing or head, or null. */
     static String framingFault(HttpServerExchange exchange) {
         var headers = exchange.getRequestHeaders();
         if (headers.count(Headers.CONTENT_LENGTH) > 1
@@ -203,11 +208,11 @@
             return "bad length";
         }
         if (headers.count(Headers.HOST) != 1) {
-            return "one Host is wanted";
+            return "exactly one Host is required";
         }
         if (headers.count(HeaderNames.ATTEMPT_ID) != 1
                 || headers.getFirst(HeaderNames.ATTEMPT_ID).isBlank()) {
-            return "one " + HeaderNames.ATTEMPT_ID + " is wanted";
+            return "exactly one " + HeaderNames.ATTEMPT_ID + " is required";
         }
         return null;
     }
--- a/src/main/java/bramblespool/proxy/ServerForwarder.java
+++ b/src/main/java/bramblespool/proxy/ServerForwarder.java
@@ -12,9 +12,19 @@
 import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
 
-/** Takes a request through a gate to its server, once, and says what came of it. */
+/**
+ * Forwards a request through a server's admission to the server, in one attempt, and reports the outcome. Source:
+ * PROTOCOL-bramblespool.md, "Servers". Confined to the event loop.
+ */
 public final class ServerForwarder {
-    /** How a send ended. {@code arrived}: the server saw it, run or not. */
+    /**
+     * The result of an attempt.
+     *
+     * @param response only with {@link ExecutionOutcome#ANSWERED}
+     * @param reason why there is no response; null with {@link ExecutionOutcome#ANSWERED}
+     * @param retryAfterMs when to try again; 0 where nothing is known
+     * @param hasReachedServer whether the server received the request, executed or not
+     */
     record Result(
             ExecutionOutcome outcome,
             UpstreamClient.Response response,
@@ -30,16 +40,28 @@
         }
     }
 
+    /** Gets the result of an attempt, once. */
     interface ResultListener {
-        /** The ending is to be called when a streamed answer has been passed on; true where it was whole. */
+        /**
+         * {@code relayCompletion} is null unless the response is streamed; then it has to be called when that has
+         * ended.
+         */
         void onResult(Result result, RelayCompletion relayCompletion);
     }
 
+    /** Ends an attempt whose response was streamed. */
     interface RelayCompletion {
+        /** {@code isComplete}: whether the response was forwarded to its end. */
         void onRelayed(boolean isComplete);
     }
 
-    /** A request as it travels: what the client sent, and what the system must say about it. */
+    /**
+     * A request to be forwarded.
+     *
+     * @param headers as received; those that must not be forwarded are left out later
+     * @param callerService the service it comes from; empty where it is unknown
+     * @param deadlineMs on the event loop's clock
+     */
     record ForwardedRequest(
             HttpString method,
             String requestTarget,
@@ -49,21 +71,24 @@
             String callerService,
             long deadlineMs) {}
 
-    /** Answers are held back whole up to this size, so that one broken off can still become another try. */
+    /** Bodies up to this size are buffered, so that a response that breaks off can still be followed by a retry. */
     public static final int MAX_BUFFERED_BYTES = 64 << 10;
-    /** How long after its deadline a server's own 504 may come before the connection is given up. */
+    /** How long after the deadline the server's own 504 may arrive before the connection is closed. */
     private static final long DEADLINE_GRACE_MS = 40;
-    /** Part of the time the server keeps an idle connection during which it is used again. */
+    /** Fraction of the server's keep-alive time within which an idle connection is reused. */
     private static final double IDLE_REUSE_FRACTION = 0.5;
 
     private final Clock clock;
     private final UpstreamClient upstream;
     private final UsageCounter usageCounter;
     private final long connectTimeoutMs;
-    /** How long an idle connection to a server is used again, as far as servers have told. */
+    /** How long an idle connection to a server is reused, from the last Keep-Alive header received. */
     private long idleReuseMs;
 
-    /** {@code tally}: counts what begins to run for each tenant; null where nobody wants to know. */
+    /**
+     * @param usageCounter counts the executed requests of each tenant; null without usage reporting
+     * @param idleReuseMs how long an idle connection to a server is reused as long as no server has announced a time
+     */
     public ServerForwarder(
             Clock clock, UpstreamClient upstream, UsageCounter usageCounter, long connectTimeoutMs, long idleReuseMs) {
         this.clock = clock;
@@ -73,6 +98,7 @@
         this.idleReuseMs = idleReuseMs;
     }
 
+    /** The request with these headers and the framing that fits its body. */
     static UpstreamClient.Request toUpstreamRequest(ForwardedRequest request, HeaderMap headers) {
         if (request.body.isComplete()) {
             if (request.body.prefix().length > 0 || request.headers.contains(Headers.CONTENT_LENGTH)) {
@@ -86,6 +112,7 @@
         return new UpstreamClient.Request(request.method, request.requestTarget, headers, request.body);
     }
 
+    /** Forwards a request; the listener is called once, possibly before this returns. */
     void forward(
             ServerAdmission serverAdmission, ForwardedRequest request, Route route, int rank, ResultListener listener) {
         ForwardingAttempt attempt = new ForwardingAttempt(serverAdmission, request, listener);
@@ -145,7 +172,7 @@
                 headers.put(HeaderNames.CALLER_SERVICE, request.callerService);
             }
             deadlineTimer = clock.schedule(remainingMs + DEADLINE_GRACE_MS, () -> {
-                boolean wasSent = upstreamCall.requestSent();
+                boolean wasSent = upstreamCall.isRequestSent();
                 upstreamCall.cancel();
                 finish(
                         wasSent ? Result.possiblyExecuted("deadline") : Result.notExecuted("late", 0, false),
@@ -191,10 +218,10 @@
                 idleReuseMs = (long) (keepAliveSeconds * 1000 * IDLE_REUSE_FRACTION);
             }
             if (!Replies.namesAttempt(request.attemptId, response.headers())) {
-                // Whatever it says, it says of another request, a refusal as much as a success.
+                // It answers another request, whether it is a rejection or a success.
                 upstreamCall.discardConnection();
                 upstream.closeIdleConnections(serverAdmission.address());
-                finish(Result.possiblyExecuted("an answer to another request"), false, null);
+                finish(Result.possiblyExecuted("response to another request"), false, null);
             } else if (response.statusCode() == 421) {
                 upstreamCall.discardConnection();
                 serverAdmission.markUnreachable(serverId);
@@ -203,7 +230,7 @@
                 if (!response.body().isComplete()) {
                     upstreamCall.finish(false);
                 }
-                finish(Result.notExecuted("turned away", 0, true), false, null);
+                finish(Result.notExecuted("rejected by the server", 0, true), false, null);
             } else if (response.body().isComplete()) {
                 finish(
                         new Result(ExecutionOutcome.ANSWERED, response, null, 0, true),
--- a/src/main/java/bramblespool/transport/BodyStream.java
+++ b/src/main/java/bramblespool/transport/BodyStream.java
@@ -10,12 +10,19 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reading and writing of bodies without blocking. */
+/** Non-blocking reading and writing of bodies. Confined to the event loop. */
 public final class BodyStream {
-    /** What was read: the whole body, or its beginning with the channel that holds the rest. */
+    /**
+     * A body, complete or in part.
+     *
+     * @param prefix the bytes that were read
+     * @param remainder the channel with the rest; null where the body is complete
+     */
     public record Body(byte[] prefix, StreamSourceChannel remainder) {
+        /** A complete body without bytes. */
         public static final Body EMPTY = new Body(new byte[0], null);
 
+        /** Whether {@link #prefix} is the whole body. */
         public boolean isComplete() {
             return remainder == null;
         }
@@ -23,7 +30,10 @@
 
     private BodyStream() {}
 
-    /** Reads until the end or until the limit is passed. */
+    /**
+     * Reads to the end, or until more than {@code maxBytes} are read. Exactly one callback runs, possibly before this
+     * returns.
+     */
     public static void read(
             StreamSourceChannel channel,
             ByteBufferPool bufferPool,
@@ -98,7 +108,12 @@
         }
     }
 
-    /** Writes the beginning, then the rest as it comes, then ends the channel. What it returns stops it without a word. */
+    /**
+     * Writes the prefix, then the rest as it arrives, and shuts down the channel's writes. Exactly one callback runs,
+     * possibly before this returns.
+     *
+     * @return cancels the writing without a callback
+     */
     public static Runnable write(
             Body body,
             StreamSinkChannel sink,
--- a/src/main/java/bramblespool/transport/EventLoop.java
+++ b/src/main/java/bramblespool/transport/EventLoop.java
@@ -11,15 +11,17 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The process's one event loop: a single XNIO I/O thread. */
+/**
+ * The process's event loop: a single XNIO I/O thread. Exceptions of tasks are logged and do not end it. Only {@link
+ * #post} may be called from other threads.
+ */
 public class EventLoop implements Clock {
-    /** XNIO's own threads keep small stacks; the deepest use is JSON of bounded depth. */
+    /** Stack of XNIO's threads: small, because the deepest use is JSON of limited depth. */
     private static final long STACK_BYTES = 512 << 10;
 
     static {
-        // Nobody reads the libraries' management beans here, and the platform's server for them costs a fifth of a
-        // start.
-        // Whoever wants them sets these properties; what is set stands.
+        // The libraries' management beans are not used here, and the JDK's MBean server takes a fifth of a start. Set
+        // properties are left alone, so that the beans can be had.
         setPropertyIfAbsent("javax.management.builder.initial", DisabledMBeanServerBuilder.class.getName());
         setPropertyIfAbsent("jboss.threads.eqe.disable-mbean", "true");
     }
@@ -30,7 +32,7 @@
         }
     }
 
-    /** Makes no server for management beans; the libraries go on without. */
+    /** Refuses to create an MBean server, which the libraries do without. Instantiated by the JDK by its name. */
     public static final class DisabledMBeanServerBuilder extends javax.management.MBeanServerBuilder {
         @Override
         public javax.management.MBeanServerDelegate newMBeanServerDelegate() {
@@ -43,6 +45,7 @@
     private final SplittableRandom random = new SplittableRandom();
     private final EventLog log;
 
+    /** Starts the thread. Its end is the process's end. */
     public EventLoop(EventLog log) throws IOException {
         this.log = log;
         worker = Xnio.getInstance(EventLoop.class.getClassLoader())
@@ -89,7 +92,7 @@
         return key::remove;
     }
 
-    /** From any thread. */
+    /** Runs a task on the event loop. May be called from any thread. */
     public void post(Runnable task) {
         ioThread.execute(() -> runGuarded(task));
     }
--- a/src/main/java/bramblespool/transport/HttpPeerTransport.java
+++ b/src/main/java/bramblespool/transport/HttpPeerTransport.java
@@ -16,14 +16,16 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
-/** Peer messages as JSON over HTTP. */
+/** Peer messages as JSON over HTTP, one path for each kind. Confined to the event loop. */
 public final class HttpPeerTransport implements PeerTransport, HttpHandler {
     private static final String PATH_PREFIX = "/peer/";
-    /** Names the call, and the answer the call that it is to. */
+    /** Identifies a call; the answer repeats it. */
     private static final HttpString CALL_ID = new HttpString("X-Spool-Call");
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** A configuration travels whole in a message; larger ones than this are refused when the operator sends them. */
+    /**
+     * Limit of a message. A routing configuration is sent in one message; the operator's listener rejects larger ones.
+     */
     public static final int MAX_MESSAGE_BYTES = 16 << 20;
 
     private final Clock clock;
@@ -34,6 +36,9 @@
     private RequestHandler requestHandler;
     private long lastCallId;
 
+    /**
+     * @param idleTimeoutMs how long idle connections to peers are kept
+     */
     public HttpPeerTransport(
             Clock clock, UpstreamClient upstream, ByteBufferPool bufferPool, long idleTimeoutMs, EventLog log) {
         this.clock = clock;
@@ -43,6 +48,7 @@
         this.log = log;
     }
 
+    /** Sets who answers requests of peers; to be called before the first one arrives. */
     public void setRequestHandler(RequestHandler handler) {
         this.requestHandler = handler;
     }
@@ -76,7 +82,7 @@
             if (call[0] != null) {
                 call[0].cancel();
             }
-            // Silence makes the kept connections to that machine suspect.
+            // After a time-out the idle connections to that machine may be dead as well.
             upstream.closeIdleConnections(address);
             completeOnce.accept(null);
         });
--- a/src/main/java/bramblespool/transport/HttpPlatformClient.java
+++ b/src/main/java/bramblespool/transport/HttpPlatformClient.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** The platform by HTTP. */
+/** The platform's registry and usage reports over HTTP. Confined to the event loop. */
 public final class HttpPlatformClient implements PlatformClient {
     private static final int MAX_RESPONSE_BYTES = 4 << 20;
     private static final HttpString SINGLETON_ROLE_OWNER = new HttpString("X-Duty-Holder");
@@ -19,6 +19,7 @@
     private final String address;
     private final long requestTimeoutMs;
 
+    /** {@code requestTimeoutMs}: time-out of reading a page, and of connecting. */
     public HttpPlatformClient(EventLoop eventLoop, UpstreamClient upstream, String address, long requestTimeoutMs) {
         this.eventLoop = eventLoop;
         this.upstream = upstream;
--- a/src/main/java/bramblespool/transport/LibraryLoggerProvider.java
+++ b/src/main/java/bramblespool/transport/LibraryLoggerProvider.java
@@ -5,11 +5,11 @@
 import org.jboss.logging.LoggerProvider;
 
 /**
- * Where the libraries log: warnings and worse go to standard error. The platform's own logging would do the same, but
- * costs a sixth of a start to set up. Found by its name under {@code META-INF/services}.
+ * Logging of the libraries: warnings and errors go to standard error. The JDK's logging would do the same, but takes a
+ * sixth of a start to set up. Found by its name under {@code META-INF/services}. May be called from any thread.
  */
 public final class LibraryLoggerProvider implements LoggerProvider {
-    /** What a peer sends that cannot be parsed is answered, and is no news of the library's. */
+    /** Logger of requests that cannot be parsed; they are answered, and not logged. */
     private static final String REQUEST_PARSER_LOGGER = "io.undertow.request";
 
     private static final class StandardErrorLogger extends Logger {
--- a/src/main/java/bramblespool/transport/Listeners.java
+++ b/src/main/java/bramblespool/transport/Listeners.java
@@ -17,12 +17,13 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 
-/** The process's listening sockets, all served by the one loop. */
+/** The process's listening sockets, all served by the event loop. Confined to it, save for construction. */
 public final class Listeners {
-    /** Buffers fit most heads and bodies here whole; the pool keeps few, for memory at its peak is what is paid for. */
+    /** Size of a buffer: most heads and bodies fit into one. */
     private static final int BUFFER_BYTES = 8192;
-
+    /** Buffers that the pool keeps: few, because the peak of memory is priced. */
     private static final int MAX_POOLED_BUFFERS = 64;
+    /** Connections that wait to be accepted, for each socket. */
     private static final int BACKLOG = 512;
 
     private final EventLoop eventLoop;
@@ -30,15 +31,25 @@
     private final ByteBufferPool bufferPool = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 8);
     private final List<AcceptingChannel<StreamConnection>> acceptingChannels = new ArrayList<>();
 
+    /** Creates the buffer pool; no socket is opened. */
     public Listeners(EventLoop eventLoop, EventLog log) {
         this.eventLoop = eventLoop;
         this.log = log;
     }
 
+    /** The buffers of the event loop, for listeners and clients. */
     public ByteBufferPool bufferPool() {
         return bufferPool;
     }
 
+    /**
+     * The options of a listener.
+     *
+     * @param maxHeaderBytes limit of a request's head
+     * @param maxBodyBytes limit of a request's body; -1 for none
+     * @param headerReadTimeoutMs how long a request's head may take to arrive
+     * @param idleTimeoutMs how long a connection may be idle
+     */
     public static OptionMap listenerOptions(
             long maxHeaderBytes, long maxBodyBytes, int headerReadTimeoutMs, int idleTimeoutMs) {
         return OptionMap.builder()
@@ -54,6 +65,11 @@
                 .getMap();
     }
 
+    /**
+     * Opens a listening socket.
+     *
+     * @throws IOException where the address cannot be bound; it has been logged
+     */
     public HttpOpenListener listen(String address, HttpHandler handler, OptionMap options) throws IOException {
         HttpOpenListener listener = new HttpOpenListener(bufferPool, options);
         listener.setRootHandler(handler);
@@ -78,11 +94,13 @@
         return listener;
     }
 
+    /** Parses an address, {@code host:port}. */
     public static InetSocketAddress socketAddress(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
+    /** Closes the listening sockets; connections stay open. */
     public void close() {
         acceptingChannels.forEach(IoUtils::safeClose);
         acceptingChannels.clear();
